--- a/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
+++ b/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
@@ -12,26 +12,26 @@
   private long askedMillis;
   private long late;
   private long lateUntilMillis;
-  private Optional<WorkerLife> acknowledgedLife = Optional.empty();
+  private Optional<WorkerIncarnation> acknowledgedLife = Optional.empty();
   private long inFlightUntilMillis;
   private long inheritedUntilMillis;
 
   /** Takes in that a life may be named ends as soon as this is stored. */
-  void acknowledging(WorkerLife life, long nowMillis) {
-    if (life.mayReturn()) {
+  void acknowledging(WorkerIncarnation life, long nowMillis) {
+    if (life.identifierReusable()) {
       acknowledgedLife = Optional.of(life);
       inFlightUntilMillis = nowMillis + LateStart.LATEST_MILLIS;
     }
   }
 
   /** Takes in that an earlier leader may have named ends to a life, and when this one began. */
-  void inherit(WorkerLife life, long startMillis) {
+  void inherit(WorkerIncarnation life, long startMillis) {
     acknowledging(life, startMillis);
     inheritedUntilMillis = inFlightUntilMillis;
   }
 
   /** Returns the life that the next leader has to know: others may get what was meant for it. */
-  Optional<WorkerLife> acknowledgedLife() {
+  Optional<WorkerIncarnation> acknowledgedLife() {
     return acknowledgedLife;
   }
 
@@ -69,11 +69,11 @@
    * @param bornMillis when that life began at the earliest, on our steady clock
    * @return the highest number that a late look may have named to it before
    */
-  long mayHaveReached(WorkerLife life, long bornMillis) {
+  long mayHaveReached(WorkerIncarnation life, long bornMillis) {
     boolean inherited = acknowledgedLife.filter(other -> !other.equals(life)).isPresent();
     acknowledgedLife = acknowledgedLife.map(other -> life);
     if (inherited && inheritedUntilMillis > bornMillis) {
-      return HiddenEnds.ANY;
+      return SuppressedCompletions.ANY;
     }
     return lateUntilMillis > bornMillis ? late : 0;
   }
--- a/core/src/main/java/org/cottontack/core/job/OwnHeadroom.java
+++ b/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
@@ -6,7 +6,7 @@
  * neighbour does no harm now and breaks the bound five seconds later. A Kalman filter (Kalman 1960)
  * keeps level and slope, fed by the reports of all tasks of the service.
  */
-final class OwnHeadroom {
+final class BaselineHeadroom {
 
   /**
    * Headroom assumed before the first report: the median of reports, a tail at 0.4 of the bound.
--- a/core/src/main/java/org/cottontack/core/job/Crowding.java
+++ b/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
@@ -11,7 +11,8 @@
  * @param tolerance share of the images that may fill beside the least tolerant image there
  * @param neighbours the services there
  */
-record Crowding(boolean alarmed, long leftover, double tolerance, List<Neighbour> neighbours) {
+record ContentionSnapshot(
+    boolean alarmed, long leftover, double tolerance, List<Neighbour> neighbours) {
 
   /** How far ahead a place is judged, in milliseconds: later, paces follow the load. */
   private static final long SOON_MILLIS = 200;
@@ -31,8 +32,8 @@
    */
   record Neighbour(Task task, double pressure, double room, boolean watching) {}
 
-  static Crowding of(Worker worker, Interference interference, long nowMillis) {
-    return new Crowding(
+  static ContentionSnapshot of(Worker worker, Interference interference, long nowMillis) {
+    return new ContentionSnapshot(
         worker.serving().anyMatch(serving -> serving.overSinceMillis > 0),
         worker.leftoverCpu(),
         worker.services().stream().mapToDouble(interference::tolerance).min().orElse(1),
@@ -47,7 +48,7 @@
         Math.min(
             interference.roomFor(task, nowMillis + SOON_MILLIS),
             interference.roomFor(task, nowMillis + LATER_MILLIS));
-    boolean watching = worker.filling().anyMatch(other -> interference.unknown(task, other));
+    boolean watching = worker.bestEffort().anyMatch(other -> interference.unknown(task, other));
     return new Neighbour(task, interference.pressureOn(worker, task), room, watching);
   }
 
--- a/core/src/main/java/org/cottontack/core/job/HeldEnds.java
+++ b/core/src/main/java/org/cottontack/core/job/DeferredAcknowledgements.java
@@ -9,7 +9,7 @@
  * crashes, and the copy reaches its next life before its leader does. An end that was acknowledged
  * would stand against what the copy runs; one that ends with its life does not.
  */
-final class HeldEnds {
+final class DeferredAcknowledgements {
 
   /** Stands for a time that is not known yet; to be held anew when it is. */
   static final long UNKNOWN_MILLIS = Long.MAX_VALUE / 4;
@@ -22,7 +22,7 @@
 
   /** Takes in that an end is to be held for so long. */
   void hold(long number, long nowMillis, long millis) {
-    expiresMillis.merge(number, nowMillis + millis, HeldEnds::known);
+    expiresMillis.merge(number, nowMillis + millis, DeferredAcknowledgements::known);
   }
 
   private static long known(long before, long next) {
--- a/core/src/main/java/org/cottontack/core/job/Estimates.java
+++ b/core/src/main/java/org/cottontack/core/job/DurationEstimates.java
@@ -11,7 +11,7 @@
  * logarithm of its declared one by least squares with forgetting, so that a declared time counts as
  * much as it has told before.
  */
-final class Estimates {
+final class DurationEstimates {
 
   /**
    * Weight that all earlier runs keep with each new one: some 500 runs count, about 5 s of load.
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -20,40 +20,40 @@
 
   private final Term term;
   private final Orders orders;
-  private final Losses losses;
-  private final Placement placement;
+  private final LostWorkers lostWorkers;
+  private final WorkerSelector workerSelector;
 
-  Fleet(Term term, Orders orders, Losses losses, Placement placement) {
+  Fleet(Term term, Orders orders, LostWorkers lostWorkers, WorkerSelector workerSelector) {
     this.term = term;
     this.orders = orders;
-    this.losses = losses;
-    this.placement = placement;
+    this.lostWorkers = lostWorkers;
+    this.workerSelector = workerSelector;
   }
 
   void seen(WorkerInfo info) {
     Worker present = term.workers.get(info.id());
-    if (present != null && present.outlived(info.life())) {
+    if (present != null && present.outlived(info.incarnation())) {
       // Births may be wrong where clocks were set back: an answer shows which life leads.
-      present.oldEntry = Optional.of(info);
-      orders.look(present, 0);
+      present.staleEntry = Optional.of(info);
+      orders.poll(present, 0);
       return;
     }
-    livesAt(info).filter(other -> !other.registered).toList().forEach(losses::reborn);
+    livesAt(info).filter(other -> !other.registered).toList().forEach(lostWorkers::reborn);
     Worker worker = leading(info);
     if (!worker.registered) {
       String detail = "address=%s draining=%s %s";
-      term.note(
+      term.logEvent(
           "worker.listed",
           info.id(),
           detail.formatted(info.address(), info.draining(), worker.answers()));
     }
     worker.info = info;
-    worker.oldEntry = Optional.empty();
+    worker.staleEntry = Optional.empty();
     worker.changed();
     worker.registered = true;
     term.roomChanged = true;
-    if (!worker.heard && !worker.looking) {
-      orders.look(worker, 0);
+    if (!worker.everAnswered && !worker.pollInFlight) {
+      orders.poll(worker, 0);
     }
   }
 
@@ -88,17 +88,18 @@
   }
 
   private void noteEvacuation(String event, DataCentreId dataCentre, String more) {
-    term.note(event, dataCentre, Evacuations.remaining(term.workers.values(), dataCentre) + more);
+    term.logEvent(
+        event, dataCentre, Evacuations.remaining(term.workers.values(), dataCentre) + more);
   }
 
   /** Returns the worker that leads the life which an entry speaks of. */
   private Worker leading(WorkerInfo info) {
     Worker known = term.workers.get(info.id());
     if (known == null) {
-      return term.add(info, term.inheritedLapseMillis);
+      return term.add(info, term.inheritedLeaseEndMillis);
     }
     // Of one that is not listed nothing is known but its identifier and what was placed there.
-    boolean same = !known.info.reachable() || known.life().equals(info.life());
+    boolean same = !known.info.reachable() || known.incarnation().equals(info.incarnation());
     return same ? known : restarted(known, info);
   }
 
@@ -107,11 +108,11 @@
    * reach the next life, so what was or may have been started waits for that one's first answer.
    */
   private Worker restarted(Worker before, WorkerInfo info) {
-    long lapse = Math.max(before.lapsedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
+    long lapse = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
     Worker next = term.add(info, lapse);
     List<Task> runs = List.copyOf(before.placed.values());
     runs.forEach(next::add);
-    losses.restarted(next, runs, Losses.left(before), term.now.mono());
+    lostWorkers.restarted(next, runs, LostWorkers.left(before), term.now.mono());
     return next;
   }
 
@@ -120,11 +121,11 @@
    * earlier life, asked before the present one was last heard, says nothing.
    */
   void answered(Worker asked, long bornMillis, long sentMillis) {
-    WorkerLife life = new WorkerLife(asked.info.id(), bornMillis);
-    boolean later = bornMillis > asked.life().bornMillis();
-    if (later || (asked.heard && sentMillis >= asked.heardMillis)) {
-      Optional<WorkerInfo> entry = asked.oldEntry.filter(info -> info.life().equals(life));
-      orders.look(restarted(asked, asked.info.with(life)), 0);
+    WorkerIncarnation life = new WorkerIncarnation(asked.info.id(), bornMillis);
+    boolean later = bornMillis > asked.incarnation().startTimeMillis();
+    if (later || (asked.everAnswered && sentMillis >= asked.lastAnswerMillis)) {
+      Optional<WorkerInfo> entry = asked.staleEntry.filter(info -> info.incarnation().equals(life));
+      orders.poll(restarted(asked, asked.info.with(life)), 0);
       entry.ifPresent(this::seen);
     } else {
       silent(asked);
@@ -133,9 +134,9 @@
 
   void unlisted(Worker worker) {
     worker.registered = false;
-    worker.oldEntry = Optional.empty();
+    worker.staleEntry = Optional.empty();
     if (livesAt(worker.info).anyMatch(other -> other.registered)) {
-      losses.reborn(worker);
+      lostWorkers.reborn(worker);
     }
   }
 
@@ -151,35 +152,35 @@
   }
 
   void silent(Worker worker) {
-    worker.looking = false;
+    worker.pollInFlight = false;
     worker.acknowledgements.unanswered();
     worker.lateLeases.unanswered();
     if (!worker.silent) {
-      term.note("worker.silent", worker.info.id(), "runs=" + worker.placed.size());
+      term.logEvent("worker.silent", worker.info.id(), "runs=" + worker.placed.size());
     }
     worker.silent = true;
   }
 
   void tick(Worker worker) {
-    boolean outOfTouch = worker.silent || !worker.heard;
+    boolean outOfTouch = worker.silent || !worker.everAnswered;
     noteWait(worker);
-    if (outOfTouch && term.now.mono() > worker.lapsedMillis()) {
-      losses.lapsed(worker);
+    if (outOfTouch && term.now.mono() > worker.leasesEndedMillis()) {
+      lostWorkers.lapsed(worker);
     }
-    if (!worker.registered && worker.placed.isEmpty() && worker.strays.isEmpty()) {
+    if (!worker.registered && worker.placed.isEmpty() && worker.orphans.isEmpty()) {
       term.forget(worker);
       return;
     }
     // A stop of a run that nobody wants goes out again only after a look that shows the run. Were
     // the worker idle then, a cancelled job's run would outlive a lost stop by seconds.
-    boolean empty = worker.placed.isEmpty() && worker.strays.isEmpty();
-    boolean idle = empty && !worker.listsEnds && !outOfTouch;
-    long gap = idle ? term.timing.idleLookMillis() : term.timing.lookAgainMillis();
-    if (!outOfTouch && worker.heldEnds.any(term.now.mono())) {
+    boolean empty = worker.placed.isEmpty() && worker.orphans.isEmpty();
+    boolean idle = empty && !worker.listsCompletions && !outOfTouch;
+    long gap = idle ? term.timing.idlePollMillis() : term.timing.pollRetryMillis();
+    if (!outOfTouch && worker.deferredAcknowledgements.any(term.now.mono())) {
       gap = HELD_LOOK_MILLIS;
     }
-    if (!worker.looking && term.now.mono() - worker.lookedMillis >= gap) {
-      orders.look(worker, 0);
+    if (!worker.pollInFlight && term.now.mono() - worker.lastPollMillis >= gap) {
+      orders.poll(worker, 0);
     }
     if (worker.info.draining() && !outOfTouch) {
       moveLasting(worker);
@@ -196,14 +197,16 @@
 
   /** Says once how long the tasks of a worker out of touch have to wait for its leases to end. */
   private void noteWait(Worker worker) {
-    if (worker.awaited() && !worker.awaitNoted) {
+    if (worker.awaitsLeaseEnd() && !worker.leaseWaitLogged) {
       String detail =
           "runs=%d registered=%s leasesEndInMillis=%d"
               .formatted(
-                  worker.placed.size(), worker.registered, worker.lapsedMillis() - term.now.mono());
-      term.note("worker.awaited", worker.info.id(), detail);
+                  worker.placed.size(),
+                  worker.registered,
+                  worker.leasesEndedMillis() - term.now.mono());
+      term.logEvent("worker.awaited", worker.info.id(), detail);
     }
-    worker.awaitNoted = worker.awaited();
+    worker.leaseWaitLogged = worker.awaitsLeaseEnd();
   }
 
   /**
@@ -213,7 +216,8 @@
    * finds no room elsewhere is better off where it is.
    */
   private void moveLasting(Worker worker) {
-    boolean oneWaits = term.hungry.stream().anyMatch(job -> job.spec.lasts() && job.begun);
+    boolean oneWaits =
+        term.jobsToPlace.stream().anyMatch(job -> job.spec.isLongRunning() && job.begun);
     List<RunKey> stopping =
         worker.placed.keySet().stream().filter(worker.stopsSent::containsKey).toList();
     stopping.forEach(run -> orders.stop(worker, run));
@@ -223,18 +227,18 @@
     worker.placed.values().stream()
         .filter(task -> task.spec.is(StepSpec.Trait.LASTS))
         .filter(task -> task.order == Task.Order.CONFIRMED && !task.job.phase.terminal())
-        .filter(task -> !task.bound(term.now.mono()))
+        .filter(task -> !task.pinned(term.now.mono()))
         .filter(task -> roomFor(task).isPresent())
         .findFirst()
         .ifPresent(
             task -> {
-              term.note("run.movedOff", task.key(), worker.info.id() + " drains");
+              term.logEvent("run.movedOff", task.key(), worker.info.id() + " drains");
               orders.stop(worker, task.key());
             });
   }
 
   private Optional<Worker> roomFor(Task task) {
     JobQueue queue = term.table.current(task.job.spec.queue());
-    return placement.choose(task, queue, term.workers.values(), term.now.mono());
+    return workerSelector.choose(task, queue, term.workers.values(), term.now.mono());
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Lives.java
+++ b/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
@@ -8,17 +8,17 @@
 import org.cottontack.core.id.WorkerId;
 
 /** What a leader keeps of each worker identifier over all lives that have it. */
-final class Lives {
+final class IncarnationHistory {
 
-  private record Last(WorkerLife life, int restarts) {}
+  private record Last(WorkerIncarnation life, int restarts) {}
 
   private final Map<WorkerId, Last> last = new HashMap<>();
   private final Map<WorkerId, Acknowledgements> acknowledgements = new HashMap<>();
   private final Map<WorkerId, LateLeases> lateLeases = new HashMap<>();
 
   /** Takes in which life a worker leads, and returns how often it has started again. */
-  int restarts(WorkerLife life) {
-    return last.merge(life.worker(), new Last(life, 0), Lives::next).restarts();
+  int restarts(WorkerIncarnation life) {
+    return last.merge(life.worker(), new Last(life, 0), IncarnationHistory::next).restarts();
   }
 
   Acknowledgements acknowledgements(WorkerId id) {
@@ -34,7 +34,7 @@
    *
    * @param known whether a worker is there
    */
-  Set<WorkerLife> acknowledged(Predicate<WorkerId> known, long nowMillis) {
+  Set<WorkerIncarnation> acknowledged(Predicate<WorkerId> known, long nowMillis) {
     return acknowledgements.entrySet().stream()
         .filter(entry -> known.test(entry.getKey()) || entry.getValue().inFlight(nowMillis))
         .flatMap(entry -> entry.getValue().acknowledgedLife().stream())
--- a/core/src/main/java/org/cottontack/core/job/Interference.java
+++ b/core/src/main/java/org/cottontack/core/job/Interference.java
@@ -12,11 +12,11 @@
    * What is known about a pair of images.
    *
    * @param serving the image whose headroom shrinks
-   * @param filling the image beside it
+   * @param bestEffort the image beside it
    * @param weight headroom taken for each share of the processors
    * @param variance how uncertain the weight is
    */
-  record Pair(String serving, String filling, double weight, double variance) {}
+  record Pair(String serving, String bestEffort, double weight, double variance) {}
 
   /** Takes in the loads that a worker last reported. */
   void learn(Worker worker, long nowMillis);
@@ -44,7 +44,7 @@
    */
   default double pressureOn(Worker worker, Task serving) {
     return worker
-        .filling()
+        .bestEffort()
         .mapToDouble(f -> effect(worker, serving, f) * f.pace / Task.FULL_PACE)
         .sum();
   }
--- a/core/src/main/java/org/cottontack/core/job/PairWeights.java
+++ b/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
@@ -11,7 +11,7 @@
  * headroom for each share of the processors that it uses. The covariances of a Kalman filter make
  * blame fall on the image that is not yet known to be harmless.
  */
-final class PairWeights {
+final class InterferenceWeights {
 
   /** Weight assumed for a pair never seen; most pairs have less than 1, harmful ones 6 to 20. */
   private static final double PRIOR = 3;
@@ -80,7 +80,7 @@
     private final double phases;
 
     private Mixture(Map<String, Double> shares) {
-      at = shares.keySet().stream().mapToInt(PairWeights.this::indexOf).toArray();
+      at = shares.keySet().stream().mapToInt(InterferenceWeights.this::indexOf).toArray();
       share = shares.values().stream().mapToDouble(Double::doubleValue).toArray();
       gain = new double[index.values().stream().mapToInt(slot -> slot + 1).max().orElse(0)];
       double sum = 0;
@@ -166,7 +166,7 @@
 
   /** Takes over what an earlier leader has learned: weight and variance, no covariances. */
   void restore(Interference.Pair pair) {
-    int at = indexOf(pair.filling());
+    int at = indexOf(pair.bestEffort());
     weights[at] = pair.weight();
     covariance[at][at] = Math.max(LEAST_VARIANCE, pair.variance());
   }
--- a/core/src/main/java/org/cottontack/core/job/JobEvent.java
+++ b/core/src/main/java/org/cottontack/core/job/JobEvent.java
@@ -39,29 +39,29 @@
   record WorkerSeen(WorkerInfo worker) implements JobEvent {}
 
   /** A worker's registration is gone; the worker itself may still run. */
-  record WorkerUnlisted(WorkerLife worker) implements JobEvent {}
+  record WorkerUnlisted(WorkerIncarnation worker) implements JobEvent {}
 
   /** A worker answered a look; {@code sentMillis} is when it was asked, on our steady clock. */
-  record WorkerReported(WorkerLife worker, long sentMillis, WorkerReport report)
+  record WorkerReported(WorkerIncarnation worker, long sentMillis, WorkerReport report)
       implements JobEvent {}
 
   /** A look at a worker got no answer. */
-  record WorkerSilent(WorkerLife worker) implements JobEvent {}
+  record WorkerSilent(WorkerIncarnation worker) implements JobEvent {}
 
   /** Another life of the worker answers at its address, so this one and its runs are gone. */
-  record WorkerReborn(WorkerLife worker) implements JobEvent {}
+  record WorkerReborn(WorkerIncarnation worker) implements JobEvent {}
 
   /** A worker refused a look since it has seen a higher fencing token. */
-  record WorkerFenced(WorkerLife worker) implements JobEvent {}
+  record WorkerFenced(WorkerIncarnation worker) implements JobEvent {}
 
   /** An order to start a run was answered or lost. */
-  record StartEnded(WorkerLife worker, RunKey run, StartResult result) implements JobEvent {}
+  record StartEnded(WorkerIncarnation worker, RunKey run, StartResult result) implements JobEvent {}
 
   /** An order to stop a run was answered or lost. */
-  record StopEnded(WorkerLife worker, RunKey run, boolean answered) implements JobEvent {}
+  record StopEnded(WorkerIncarnation worker, RunKey run, boolean answered) implements JobEvent {}
 
   /** An order to pace a run got no answer, so the run's pace is not known. */
-  record PaceLost(WorkerLife worker, RunKey run) implements JobEvent {}
+  record PaceLost(WorkerIncarnation worker, RunKey run) implements JobEvent {}
 
   /** The last {@link JobEffect.SaveProgress} is in the store. */
   record ProgressSaved() implements JobEvent {}
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -18,12 +18,12 @@
   private final Term term;
   private final Orders orders;
   private final Lifecycle lifecycle;
-  private final Reports reports;
-  private final Losses losses;
+  private final WorkerReports workerReports;
+  private final LostWorkers lostWorkers;
   private final Fleet fleet;
-  private final Placer placer;
-  private final Saver saver;
-  private long notedMillis;
+  private final PlacementPass placementPass;
+  private final ProgressSaver progressSaver;
+  private long loadLoggedMillis;
 
   /**
    * Begins a term.
@@ -45,17 +45,20 @@
       Moment start,
       long inheritedLapseMillis,
       Interference interference) {
-    Estimates estimates = new Estimates();
-    Urgency urgency = new Urgency(estimates);
+    DurationEstimates durationEstimates = new DurationEstimates();
+    Urgency urgency = new Urgency(durationEstimates);
     term = new Term(timing, table, start, inheritedLapseMillis);
     orders = new Orders(term);
-    lifecycle = new Lifecycle(term, orders, estimates, urgency);
-    Placement placement = new Placement(interference);
-    losses = new Losses(term, lifecycle);
-    fleet = new Fleet(term, orders, losses, placement);
-    reports = new Reports(term, orders, lifecycle, losses, fleet, interference, estimates);
-    placer = new Placer(term, placement, urgency);
-    saver = new Saver(term, orders, new LearnedText(interference, estimates));
+    lifecycle = new Lifecycle(term, orders, durationEstimates, urgency);
+    WorkerSelector workerSelector = new WorkerSelector(interference);
+    lostWorkers = new LostWorkers(term, lifecycle);
+    fleet = new Fleet(term, orders, lostWorkers, workerSelector);
+    workerReports =
+        new WorkerReports(
+            term, orders, lifecycle, lostWorkers, fleet, interference, durationEstimates);
+    placementPass = new PlacementPass(term, workerSelector, urgency);
+    progressSaver =
+        new ProgressSaver(term, orders, new LearnedText(interference, durationEstimates));
   }
 
   /**
@@ -66,7 +69,7 @@
    * @return what is to be done, in order
    */
   public List<JobEffect> reduce(Moment moment, JobEvent event) {
-    List<JobEffect> effects = new ArrayList<>(take(moment, event));
+    List<JobEffect> effects = new ArrayList<>(handle(moment, event));
     effects.addAll(decide(moment));
     return effects;
   }
@@ -76,22 +79,22 @@
    * of events come at once; deciding after each of them kept a leader busy for longer than its
    * lease.
    */
-  public List<JobEffect> take(Moment moment, JobEvent event) {
+  public List<JobEffect> handle(Moment moment, JobEvent event) {
     term.now = moment;
-    term.out = new ArrayList<>();
+    term.effects = new ArrayList<>();
     apply(event);
-    term.unsettled.forEach(lifecycle::settle);
-    term.unsettled.clear();
-    return term.out;
+    term.jobsToRecheck.forEach(lifecycle::settle);
+    term.jobsToRecheck.clear();
+    return term.effects;
   }
 
   /** Places what waits and saves what has changed since the last decision. */
   public List<JobEffect> decide(Moment moment) {
     term.now = moment;
-    term.out = new ArrayList<>();
-    placer.place();
-    saver.save();
-    return term.out;
+    term.effects = new ArrayList<>();
+    placementPass.place();
+    progressSaver.save();
+    return term.effects;
   }
 
   /**
@@ -99,9 +102,9 @@
    * of any partition, and no tasks wait for the leases of a worker out of touch to end. The next
    * leader would begin that wait anew, from this one's last renewal.
    */
-  public boolean mayMakeWay(DataCentreId dataCentre) {
-    return Reach.reaches(term.workers.values(), dataCentre)
-        && term.workers.values().stream().noneMatch(Worker::awaited);
+  public boolean mayYieldLeadershipTo(DataCentreId dataCentre) {
+    return PartitionDetector.reaches(term.workers.values(), dataCentre)
+        && term.workers.values().stream().noneMatch(Worker::awaitsLeaseEnd);
   }
 
   /**
@@ -109,7 +112,7 @@
    * connection while its job was cancelled, its task was taken off the worker, or the worker said
    * that it leaves or its data centre began to be emptied.
    */
-  public boolean maySend(WorkerLife worker, RunKey run) {
+  public boolean maySend(WorkerIncarnation worker, RunKey run) {
     Task task = term.find(run.task());
     return task != null
         && task.runsAs(worker, run.run())
@@ -127,7 +130,7 @@
 
   private void apply(JobEvent event) {
     if (event instanceof JobEvent.WorkerReported e) {
-      reports.reported(e);
+      workerReports.reported(e);
     } else if (event instanceof JobEvent.StartEnded e) {
       started(e);
     } else if (event instanceof JobEvent.StopEnded e) {
@@ -135,9 +138,9 @@
     } else if (event instanceof JobEvent.PaceLost e) {
       orders.paceLost(e);
     } else if (event instanceof JobEvent.ProgressSaved) {
-      saver.saved();
+      progressSaver.saved();
     } else if (event instanceof JobEvent.StartsBounded e) {
-      term.startsUntilMillis = e.untilMillis();
+      term.startDeadlineMillis = e.untilMillis();
     } else if (event instanceof JobEvent.Tick e) {
       term.renewal = e.renewal();
       tick();
@@ -146,7 +149,7 @@
     } else if (event instanceof JobEvent.JobRecovered e) {
       lifecycle.recovered(e);
     } else if (event instanceof JobEvent.LearnedRecovered e) {
-      saver.restoreLearned(e.learned());
+      progressSaver.restoreLearned(e.learned());
     } else if (event instanceof JobEvent.JobCancelled e) {
       lifecycle.cancelled(e.job());
     } else if (event instanceof JobEvent.WorkerSeen e) {
@@ -158,7 +161,7 @@
     } else if (event instanceof JobEvent.WorkerFenced e) {
       term.worker(e.worker()).ifPresent(orders::fenced);
     } else if (event instanceof JobEvent.WorkerReborn e) {
-      term.worker(e.worker()).ifPresent(losses::reborn);
+      term.worker(e.worker()).ifPresent(lostWorkers::reborn);
     } else if (event instanceof JobEvent.TableChanged e) {
       term.table = e.table();
     } else if (event instanceof JobEvent.DataCentresEvacuated e) {
@@ -168,24 +171,26 @@
 
   private void started(JobEvent.StartEnded event) {
     if (orders.startEnded(event)) {
-      term.worker(event.worker()).ifPresent(losses::reborn);
+      term.worker(event.worker()).ifPresent(lostWorkers::reborn);
     }
   }
 
   private void tick() {
-    term.timed.stream().filter(job -> job.advance(term.now.wall())).forEach(term.hungry::add);
+    term.scheduledJobs.stream()
+        .filter(job -> job.advance(term.now.wall()))
+        .forEach(term.jobsToPlace::add);
     term.roomChanged = true;
     Collection<Worker> all = List.copyOf(term.workers.values());
     all.forEach(fleet::tick);
-    term.hidingLives.expire(term.workers::containsKey, term.now.mono());
+    term.unlistedSuppressions.expire(term.workers::containsKey, term.now.mono());
     boolean settled = term.now.mono() - term.startMillis > term.timing.settleMillis();
-    if (settled && Reach.cutOff(all)) {
-      term.out.add(new JobEffect.HandOver("cut off from most workers"));
+    if (settled && PartitionDetector.cutOff(all)) {
+      term.effects.add(new JobEffect.HandOver("cut off from most workers"));
     }
-    if (term.now.mono() - notedMillis >= term.timing.noteLoadMillis()) {
-      notedMillis = term.now.mono();
+    if (term.now.mono() - loadLoggedMillis >= term.timing.logLoadMillis()) {
+      loadLoggedMillis = term.now.mono();
       String load = LoadText.of(term.workers.values(), term.jobs.values(), term.now.mono());
-      term.note("leader.load", "workers", load);
+      term.logEvent("leader.load", "workers", load);
       fleet.noteEvacuations();
     }
   }
--- a/core/src/main/java/org/cottontack/core/job/JobSpec.java
+++ b/core/src/main/java/org/cottontack/core/job/JobSpec.java
@@ -48,7 +48,7 @@
   }
 
   /** Returns whether some step runs until the job is cancelled. */
-  public boolean lasts() {
+  public boolean isLongRunning() {
     return steps.stream().anyMatch(step -> step.is(StepSpec.Trait.LASTS));
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/JobTiming.java
+++ b/core/src/main/java/org/cottontack/core/job/JobTiming.java
@@ -3,30 +3,30 @@
 /**
  * Waits and lease lengths of a leader's term, in milliseconds, and sizes.
  *
- * @param lookWaitMillis how long a worker may wait for an end before it answers a look
- * @param contendedWaitMillis the same where tasks that fill run beside tasks that serve
- * @param lookAgainMillis least time between two looks at a worker that does not answer
- * @param idleLookMillis time between two looks at a worker that runs nothing
+ * @param pollWaitMillis how long a worker may wait for an end before it answers a look
+ * @param contendedPollWaitMillis the same where tasks that fill run beside tasks that serve
+ * @param pollRetryMillis least time between two looks at a worker that does not answer
+ * @param idlePollMillis time between two looks at a worker that runs nothing
  * @param stopAgainMillis time after which a stop without effect is sent again
  * @param avoidMillis how long a worker that refused work gets no more
  * @param stalledMillis time without progress after which a run is stopped and tried elsewhere
  * @param settleMillis age of a term from which on silence of workers is judged: all have been asked
  * @param learnedMillis time between two writes of what was learned about images and queues
- * @param noteLoadMillis time between two log lines about the load of all workers
+ * @param logLoadMillis time between two log lines about the load of all workers
  * @param cancelsKept most cancellations kept for jobs that were not heard of yet
  * @param jobsPerSave most jobs in one transaction
  */
 public record JobTiming(
-    long lookWaitMillis,
-    long contendedWaitMillis,
-    long lookAgainMillis,
-    long idleLookMillis,
+    long pollWaitMillis,
+    long contendedPollWaitMillis,
+    long pollRetryMillis,
+    long idlePollMillis,
     long stopAgainMillis,
     long avoidMillis,
     long stalledMillis,
     long settleMillis,
     long learnedMillis,
-    long noteLoadMillis,
+    long logLoadMillis,
     int cancelsKept,
     int jobsPerSave) {
 
--- a/core/src/main/java/org/cottontack/core/job/LateStart.java
+++ b/core/src/main/java/org/cottontack/core/job/LateStart.java
@@ -12,7 +12,7 @@
  *     steady clock
  * @param expiresMillis when it can no longer be carried out, on our steady clock
  */
-record LateStart(WorkerLife refusing, long bindsMillis, long expiresMillis) {
+record LateStart(WorkerIncarnation refusing, long bindsMillis, long expiresMillis) {
 
   /**
    * Longest time until a worker carries out an order that it left unanswered, in milliseconds; the
@@ -27,10 +27,10 @@
   private static final long HEARD_MILLIS = 1_500;
 
   /** Returns a start that this leader has sent; the life that it was for may still take it. */
-  static LateStart sent(WorkerLife to, StepSpec spec, long sentMillis) {
+  static LateStart sent(WorkerIncarnation to, StepSpec spec, long sentMillis) {
     // A lasting task is back when leases of that time have ended, as after any loss of its worker.
     long binds = spec.is(StepSpec.Trait.LASTS) ? LeaderLease.GRANT_MILLIS : LATEST_MILLIS;
-    WorkerLife next = new WorkerLife(to.worker(), to.bornMillis() + 1);
+    WorkerIncarnation next = new WorkerIncarnation(to.worker(), to.startTimeMillis() + 1);
     return new LateStart(next, sentMillis + binds, sentMillis + LATEST_MILLIS);
   }
 
@@ -40,14 +40,15 @@
    * @param startMillis when this leader's term began
    * @param lapseMillis when the leases that earlier leaders gave have ended
    */
-  static LateStart inherited(WorkerLife to, StepSpec spec, long startMillis, long lapseMillis) {
+  static LateStart inherited(
+      WorkerIncarnation to, StepSpec spec, long startMillis, long lapseMillis) {
     long expires = startMillis + LATEST_MILLIS;
     return new LateStart(to, spec.is(StepSpec.Trait.LASTS) ? lapseMillis : expires, expires);
   }
 
   /** Returns what bars as much as both; a task is bound to one worker, so both name the same. */
   LateStart and(LateStart other) {
-    boolean later = refusing.bornMillis() >= other.refusing.bornMillis();
+    boolean later = refusing.startTimeMillis() >= other.refusing.startTimeMillis();
     return new LateStart(
         later ? refusing : other.refusing,
         Math.max(bindsMillis, other.bindsMillis),
@@ -71,12 +72,13 @@
   }
 
   /** Returns whether a life that has answered this leader refuses it. */
-  boolean refusedBy(WorkerLife life) {
-    return life.worker().equals(refusing.worker()) && life.bornMillis() >= refusing.bornMillis();
+  boolean refusedBy(WorkerIncarnation life) {
+    return life.worker().equals(refusing.worker())
+        && life.startTimeMillis() >= refusing.startTimeMillis();
   }
 
   /** Returns the same start where a life refuses it already. */
-  LateStart refusedFrom(WorkerLife life) {
+  LateStart refusedFrom(WorkerIncarnation life) {
     return new LateStart(life, bindsMillis, expiresMillis);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LeaderLease.java
+++ b/core/src/main/java/org/cottontack/core/job/LeaderLease.java
@@ -57,12 +57,12 @@
   }
 
   /** Returns whether the holder has been silent for longer than its lease. */
-  public boolean lapsed() {
-    return silenceLeftMillis() <= 0;
+  public boolean expired() {
+    return untilExpiryMillis() <= 0;
   }
 
   /** Returns for how long the holder must still be silent until its lease has lapsed. */
-  public long silenceLeftMillis() {
+  public long untilExpiryMillis() {
     return SILENCE_MILLIS - watchedMillis;
   }
 
--- a/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
@@ -11,8 +11,8 @@
  * what it can carry. What a neighbour takes from the headroom, bound / tail, is the same at any
  * load, as it lengthens each response by the same factor; its logarithm, or the tail itself, is
  * not: at the top of a swing a pair did 3 times as much to them as at rest. So headroom is split
- * into what the service's own load leaves ({@link OwnHeadroom}) and what each neighbour takes of it
- * ({@link PairWeights}), both learned from the same reports.
+ * into what the service's own load leaves ({@link BaselineHeadroom}) and what each neighbour takes
+ * of it ({@link InterferenceWeights}), both learned from the same reports.
  */
 final class LearnedInterference implements Interference {
 
@@ -54,23 +54,26 @@
   /** Services remembered: over twice as many as are to run at a time; the quietest makes room. */
   private static final int MOST_SERVICES = 4_096;
 
-  private final Map<String, PairWeights> besides = new LruMap<>(PairWeights.MOST_IMAGES);
-  private final Map<JobId, OwnHeadroom> services = new LruMap<>(MOST_SERVICES);
+  private final Map<String, InterferenceWeights> besides =
+      new LruMap<>(InterferenceWeights.MOST_IMAGES);
+  private final Map<JobId, BaselineHeadroom> services = new LruMap<>(MOST_SERVICES);
 
-  private PairWeights beside(Task serving) {
-    return besides.computeIfAbsent(serving.spec.image(), image -> new PairWeights());
+  private InterferenceWeights beside(Task serving) {
+    return besides.computeIfAbsent(serving.spec.image(), image -> new InterferenceWeights());
   }
 
-  private OwnHeadroom own(Task serving) {
-    return services.computeIfAbsent(serving.job.spec.id(), id -> new OwnHeadroom());
+  private BaselineHeadroom own(Task serving) {
+    return services.computeIfAbsent(serving.job.spec.id(), id -> new BaselineHeadroom());
   }
 
   @Override
   public void learn(Worker worker, long nowMillis) {
     Map<String, Double> shares = new HashMap<>();
-    worker.filling().forEach(t -> shares.merge(t.spec.image(), worker.share(t.load), Double::sum));
-    worker.echoes.removeIf(echo -> nowMillis - echo.endedMillis() >= ECHO_MILLIS);
-    worker.echoes.forEach(
+    worker
+        .bestEffort()
+        .forEach(t -> shares.merge(t.spec.image(), worker.share(t.load), Double::sum));
+    worker.residualLoads.removeIf(echo -> nowMillis - echo.endedMillis() >= ECHO_MILLIS);
+    worker.residualLoads.forEach(
         echo -> {
           double left = 1 - (nowMillis - echo.endedMillis()) / (double) ECHO_MILLIS;
           shares.merge(echo.image(), left * worker.share(echo.load()), Double::sum);
@@ -80,15 +83,15 @@
         .serving()
         .filter(task -> task.progress == AT_WORK && task.load > 0)
         .filter(task -> task.load < STANDSTILL * task.spec.targetMillis())
-        .filter(task -> task.news(nowMillis))
+        .filter(task -> task.hasNewLoad(nowMillis))
         .forEach(task -> learn(task, shares, nowMillis - REPORT_AGE_MILLIS));
   }
 
   private void learn(Task serving, Map<String, Double> shares, long millis) {
     double headroom = headroom(serving);
-    OwnHeadroom own = own(serving);
+    BaselineHeadroom own = own(serving);
     own.advance(millis);
-    PairWeights.Mixture mixture = beside(serving).mixture(shares);
+    InterferenceWeights.Mixture mixture = beside(serving).mixture(shares);
     double predicted = Math.max(LEAST_HEADROOM, own.level() - mixture.pressure());
     double rounding = ROUNDING * headroom * headroom;
     double variance =
@@ -140,6 +143,6 @@
 
   @Override
   public void restore(Pair pair) {
-    besides.computeIfAbsent(pair.serving(), image -> new PairWeights()).restore(pair);
+    besides.computeIfAbsent(pair.serving(), image -> new InterferenceWeights()).restore(pair);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LearnedText.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedText.java
@@ -56,9 +56,9 @@
   record Written(String text, int livesCut, int learnedCut) {}
 
   private final Interference interference;
-  private final Estimates estimates;
+  private final DurationEstimates estimates;
 
-  LearnedText(Interference interference, Estimates estimates) {
+  LearnedText(Interference interference, DurationEstimates estimates) {
     this.interference = interference;
     this.estimates = estimates;
   }
@@ -67,7 +67,10 @@
    * Returns the text. Where it grows large, the last of the lives that hide ends and the pairs that
    * were not heard of for longest are left out.
    */
-  Written write(Set<WorkerLife> hiding, Set<WorkerLife> acknowledged, Map<WorkerLife, Long> held) {
+  Written write(
+      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> acknowledged,
+      Map<WorkerIncarnation, Long> held) {
     List<String> pairs = interference.pairs().map(LearnedText::line).toList();
     List<String> learned =
         Stream.concat(estimates.queues().map(LearnedText::line), reversed(pairs).stream()).toList();
@@ -101,12 +104,12 @@
     return reversed;
   }
 
-  private static String lifeLine(String what, WorkerLife life) {
-    return String.join(" ", what, escape(life.worker().value()), "" + life.bornMillis());
+  private static String lifeLine(String what, WorkerIncarnation life) {
+    return String.join(" ", what, escape(life.worker().value()), "" + life.startTimeMillis());
   }
 
-  private static WorkerLife life(String[] fields) {
-    return new WorkerLife(new WorkerId(unescape(fields[1])), Long.parseLong(fields[2]));
+  private static WorkerIncarnation life(String[] fields) {
+    return new WorkerIncarnation(new WorkerId(unescape(fields[1])), Long.parseLong(fields[2]));
   }
 
   private static String line(Interference.Pair pair) {
@@ -115,12 +118,12 @@
         "%s %s %s %.2f %.2f",
         PAIR,
         escape(pair.serving()),
-        escape(pair.filling()),
+        escape(pair.bestEffort()),
         pair.weight(),
         pair.variance());
   }
 
-  private static String line(Estimates.Queue queue) {
+  private static String line(DurationEstimates.Queue queue) {
     return String.format(
         Locale.ROOT,
         "%s %s %.3f %.3f %.3f %.3f %.3f %.0f",
@@ -146,15 +149,15 @@
    */
   long restore(
       String text,
-      Set<WorkerLife> hiding,
-      Set<WorkerLife> acknowledged,
-      Map<WorkerLife, Long> held) {
+      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> acknowledged,
+      Map<WorkerIncarnation, Long> held) {
     List<String> lines = text.lines().toList();
     return lines.stream().filter(line -> !read(line, hiding, acknowledged, held)).count();
   }
 
   /** Returns the lives to which ends were acknowledged, by a text that {@link #write} returned. */
-  static Set<WorkerLife> acknowledged(String text) {
+  static Set<WorkerIncarnation> acknowledged(String text) {
     return text.lines()
         .map(line -> line.split(" ", -1))
         .filter(fields -> fields[0].equals(ACKNOWLEDGED))
@@ -164,9 +167,9 @@
 
   private boolean read(
       String line,
-      Set<WorkerLife> hiding,
-      Set<WorkerLife> acknowledged,
-      Map<WorkerLife, Long> held) {
+      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> acknowledged,
+      Map<WorkerIncarnation, Long> held) {
     String[] fields = line.split(" ", -1);
     try {
       if (fields[0].equals(HIDES) && fields.length == LIFE_FIELDS) {
@@ -187,7 +190,7 @@
       }
       if (fields[0].equals(QUEUE) && fields.length == QUEUE_FIELDS) {
         estimates.restore(
-            new Estimates.Queue(
+            new DurationEstimates.Queue(
                 unescape(fields[1]),
                 number(fields[2]),
                 number(fields[3]),
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -9,11 +9,11 @@
 
   private final Term term;
   private final Orders orders;
-  private final Estimates estimates;
+  private final DurationEstimates estimates;
   private final Urgency urgency;
   private final Set<JobId> cancelledUnseen = new LinkedHashSet<>();
 
-  Lifecycle(Term term, Orders orders, Estimates estimates, Urgency urgency) {
+  Lifecycle(Term term, Orders orders, DurationEstimates estimates, Urgency urgency) {
     this.term = term;
     this.orders = orders;
     this.estimates = estimates;
@@ -27,7 +27,7 @@
     Job job = new Job(spec, term.now.mono(), term.ignoredStarts);
     estimates.arrived(spec.queue(), urgency.work(spec));
     open(job);
-    term.note("job.taken", spec.id(), describe(spec));
+    term.logEvent("job.taken", spec.id(), describe(spec));
     if (cancelledUnseen.remove(spec.id())) {
       end(job, JobPhase.CANCELLED);
     }
@@ -43,11 +43,11 @@
     term.jobs.put(job.spec.id(), job);
     job.advance(term.now.wall());
     if (!job.phase.terminal()) {
-      term.hungry.add(job);
+      term.jobsToPlace.add(job);
     }
     term.roomChanged = true;
     if (!job.phase.terminal() && job.spec.schedule().timed()) {
-      term.timed.add(job);
+      term.scheduledJobs.add(job);
     }
   }
 
@@ -61,8 +61,8 @@
 
   /** An earlier leader may have sent its start just before it ended. */
   private void inherit(Task task) {
-    if (task.worker.mayReturn()) {
-      long lapse = term.inheritedLapseMillis;
+    if (task.worker.identifierReusable()) {
+      long lapse = term.inheritedLeaseEndMillis;
       task.expectLate(
           LateStart.inherited(task.worker, task.spec, term.startMillis, lapse), term.now.mono());
     }
@@ -74,9 +74,11 @@
   }
 
   /** A worker that is not registered may still run what it was given. */
-  private Worker holder(WorkerLife life) {
+  private Worker holder(WorkerIncarnation life) {
     Worker known = term.workers.get(life.worker());
-    return known == null ? term.add(WorkerInfo.unlisted(life), term.inheritedLapseMillis) : known;
+    return known == null
+        ? term.add(WorkerInfo.unlisted(life), term.inheritedLeaseEndMillis)
+        : known;
   }
 
   /**
@@ -102,13 +104,13 @@
   private void end(Job job, JobPhase phase) {
     if (!job.begun) {
       job.begun = true;
-      term.out.add(new JobEffect.Begun(job.spec.id()));
+      term.effects.add(new JobEffect.Begun(job.spec.id()));
     }
     job.phase = phase;
     term.dirty.add(job);
-    term.hungry.remove(job);
-    term.timed.remove(job);
-    term.note("job.ended", job.spec.id(), phase.name());
+    term.jobsToPlace.remove(job);
+    term.scheduledJobs.remove(job);
+    term.logEvent("job.ended", job.spec.id(), phase.name());
     job.tasks().filter(task -> task.phase == Task.Phase.PLACED).toList().forEach(orders::withdraw);
   }
 
@@ -121,7 +123,7 @@
   /** Ends a job one task of which crashes its workers. */
   void giveUp(Task task) {
     if (!task.job.phase.terminal()) {
-      term.note("job.givenUp", task.job.spec.id(), task.name + " crashes=" + task.crashes);
+      term.logEvent("job.givenUp", task.job.spec.id(), task.name + " crashes=" + task.crashes);
       end(task.job, JobPhase.FAILED);
     }
   }
--- a/core/src/main/java/org/cottontack/core/job/Losses.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -7,35 +7,35 @@
  * What becomes of runs whose worker is lost: they wait for another one, but for those of a task
  * that made it crash again and again.
  */
-final class Losses {
+final class LostWorkers {
 
   private final Term term;
   private final Lifecycle lifecycle;
 
-  Losses(Term term, Lifecycle lifecycle) {
+  LostWorkers(Term term, Lifecycle lifecycle) {
     this.term = term;
     this.lifecycle = lifecycle;
   }
 
   /** Takes in that a worker's life has ended, and all that ran there with it. */
   void reborn(Worker worker) {
-    term.note("worker.reborn", worker.info.id(), "runs=" + worker.placed.size());
+    term.logEvent("worker.reborn", worker.info.id(), "runs=" + worker.placed.size());
     lose(worker, !left(worker));
     // Whoever has its address now refuses orders for another identifier.
     term.jobs.values().stream()
         .flatMap(Job::tasks)
-        .filter(task -> task.boundTo(worker.info.id()))
+        .filter(task -> task.pinnedTo(worker.info.id()))
         .forEach(Task::expectNoneLate);
     term.workers.remove(worker.info.id());
   }
 
   /** Takes in that all leases of a worker out of touch have ended. */
   void lapsed(Worker worker) {
-    Set.copyOf(worker.strays.keySet()).forEach(worker::removeStray);
+    Set.copyOf(worker.orphans.keySet()).forEach(worker::removeOrphan);
     if (worker.placed.isEmpty()) {
       return;
     }
-    term.note("worker.lapsed", worker.info.id(), "runs=" + worker.placed.size());
+    term.logEvent("worker.lapsed", worker.info.id(), "runs=" + worker.placed.size());
     // One that is still listed may live, cut off from us alone.
     lose(worker, !worker.registered && !left(worker));
   }
@@ -49,12 +49,12 @@
    * @param sinceMillis from when on looks at the next life were sent
    */
   void restarted(Worker worker, List<Task> runs, boolean left, long sinceMillis) {
-    term.note("worker.restarted", worker.life(), "runs=" + runs.size());
+    term.logEvent("worker.restarted", worker.incarnation(), "runs=" + runs.size());
     List<Task> hopeless = judge(worker, runs, !left);
     runs.forEach(
         task -> {
           if (task.mayHaveBegun()) {
-            task.mayRunOn(worker.life(), sinceMillis);
+            task.mayRunOn(worker.incarnation(), sinceMillis);
             term.dirty.add(task.job);
           } else {
             term.release(task);
@@ -67,7 +67,7 @@
     List<Task> lost = List.copyOf(worker.placed.values());
     List<Task> hopeless = judge(worker, lost, crashed);
     lost.forEach(term::release);
-    lost.forEach(term::noteBound);
+    lost.forEach(term::logPinned);
     hopeless.forEach(lifecycle::giveUp);
   }
 
@@ -84,7 +84,7 @@
         .forEach(
             task -> {
               task.unanswered();
-              term.noteIgnored(task);
+              term.recordIgnoredStart(task);
             });
     return hopeless;
   }
@@ -109,6 +109,6 @@
                 byUs && task.listedMillis > 0 ? task.listedMillis - task.placedMillis : 0,
                 task.crashes,
                 task.blamed);
-    term.note("run.lost", task.key(), detail);
+    term.logEvent("run.lost", task.key(), detail);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/OrderTarget.java
+++ b/core/src/main/java/org/cottontack/core/job/OrderTarget.java
@@ -3,11 +3,11 @@
 /**
  * Where an order goes.
  *
- * @param life the life that it is for
+ * @param incarnation the life that it is for
  * @param address where the worker is reached, {@code host:port}
  * @param restarts how often this leader has seen the worker start again under its identifier
  */
-public record OrderTarget(WorkerLife life, String address, int restarts) {
+public record OrderTarget(WorkerIncarnation incarnation, String address, int restarts) {
 
   /** Fencing tokens of one epoch: more restarts than a worker can have in one term. */
   private static final int TOKENS_PER_EPOCH = 100_000;
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -22,7 +22,7 @@
   }
 
   void withdraw(Task task) {
-    Worker worker = term.holder(task);
+    Worker worker = term.workerOf(task);
     if (task.mayHaveBegun()) {
       stop(worker, task.key());
     } else {
@@ -32,8 +32,8 @@
 
   /** Sends a start, also again, when what the next leader has to know of it is stored. */
   void start(Task task) {
-    Worker worker = term.holder(task);
-    if (task.uncertain) {
+    Worker worker = term.workerOf(task);
+    if (task.startInDoubt) {
       task.order = Task.Order.RESEND;
       retry(worker, task);
       return;
@@ -44,16 +44,16 @@
       return;
     }
     order(worker, task);
-    if (!worker.looking) {
-      look(worker, waitMillis(worker));
+    if (!worker.pollInFlight) {
+      poll(worker, pollWaitMillis(worker));
     }
   }
 
   private void order(Worker worker, Task task) {
-    task.brief |= worker.hiddenEnds.stops(task.spec) && !worker.renewsLeases();
+    task.shortLease |= worker.suppressedCompletions.stops(task.spec) && !worker.renewsLeases();
     task.sent(term.now.mono());
     worker.lateLeases.started(task.key(), term.now.mono());
-    term.out.add(
+    term.effects.add(
         new JobEffect.StartRun(
             worker.target(),
             task.key(),
@@ -70,12 +70,13 @@
    * needs whose end may not be listed: whatever becomes of other orders, it is not done.
    */
   private long startEnd(Worker worker, Task task) {
-    if (task.brief) {
-      return Math.min(term.now.mono() + HiddenEnds.TOO_SHORT_MILLIS, term.startsUntilMillis);
+    if (task.shortLease) {
+      return Math.min(
+          term.now.mono() + SuppressedCompletions.TOO_SHORT_MILLIS, term.startDeadlineMillis);
     }
     long lease = startLeaseEnd(worker);
     boolean held = worker.heldLeaseMillis() - term.now.mono() > LEAST_START_LEASE_MILLIS;
-    return held ? Math.min(lease, term.startsUntilMillis) : lease;
+    return held ? Math.min(lease, term.startDeadlineMillis) : lease;
   }
 
   /**
@@ -84,7 +85,7 @@
    * the end of its leases, and with it the return of all that ran there.
    */
   private long startLeaseEnd(Worker worker) {
-    long given = worker.clock.allLapsedMillis();
+    long given = worker.clock.lastLeaseEndMillis();
     return given - term.now.mono() > LEAST_START_LEASE_MILLIS ? given : term.grantEndMillis();
   }
 
@@ -97,7 +98,8 @@
     if (task.job.phase == JobPhase.CANCELLED && !task.cancelNoted) {
       task.cancelNoted = true;
       long sent = task.sentMillis() == 0 ? 0 : term.now.mono() - task.sentMillis();
-      term.note("run.cancelled", task.key(), worker.info.id() + " " + how + " sentMillis=" + sent);
+      term.logEvent(
+          "run.cancelled", task.key(), worker.info.id() + " " + how + " sentMillis=" + sent);
     }
   }
 
@@ -106,7 +108,7 @@
     boolean due = last == null || term.now.mono() - last >= term.timing.stopAgainMillis();
     if (worker.info.reachable() && due) {
       worker.stopsSent.put(run, term.now.mono());
-      term.out.add(new JobEffect.StopRun(worker.target(), run));
+      term.effects.add(new JobEffect.StopRun(worker.target(), run));
     }
   }
 
@@ -131,15 +133,15 @@
       task.unanswered();
     }
     if (event.result() != StartResult.STARTED) {
-      term.note("start.refused", event.run(), event.worker().worker() + " " + event.result());
+      term.logEvent("start.refused", event.run(), event.worker().worker() + " " + event.result());
     }
     if (event.result() == StartResult.STARTED) {
       noteCancelled(worker, task, "started");
       task.startAnswered();
     }
-    term.noteIgnored(task);
+    term.recordIgnoredStart(task);
     task.began |= event.result() == StartResult.STARTED;
-    if (task.began && worker.hiddenEnds.stops(task.spec)) {
+    if (task.began && worker.suppressedCompletions.stops(task.spec)) {
       stop(worker, task.key());
     }
     switch (event.result()) {
@@ -158,8 +160,8 @@
 
   /** Takes in that a worker has seen a higher fencing token than its present one. */
   void fenced(Worker worker) {
-    worker.looking = false;
-    term.out.add(new JobEffect.StepDown("a worker has seen a newer leader"));
+    worker.pollInFlight = false;
+    term.effects.add(new JobEffect.StepDown("a worker has seen a newer leader"));
   }
 
   /**
@@ -171,12 +173,12 @@
   void retry(Worker worker, Task task) {
     if (task.unwanted() || worker.shrunk() || worker.closed()) {
       withdraw(task);
-    } else if (!worker.silent && !task.copied && task.bound(term.now.mono())) {
+    } else if (!worker.silent && !task.duplicateStartPossible && task.pinned(term.now.mono())) {
       task.copy();
       term.dirty.add(task.job);
     } else if (!worker.silent) {
       order(worker, task);
-    } else if (!task.uncertain) {
+    } else if (!task.startInDoubt) {
       term.release(task);
     }
   }
@@ -184,7 +186,7 @@
   void confirm(Task task) {
     if (!task.job.begun) {
       task.job.begun = true;
-      term.out.add(new JobEffect.Begun(task.job.spec.id()));
+      term.effects.add(new JobEffect.Begun(task.job.spec.id()));
     }
     task.order = Task.Order.CONFIRMED;
     task.confirmedMillis = term.now.mono();
@@ -192,7 +194,7 @@
 
   /** A brief run goes elsewhere: where orders take longer than its lease it would never begin. */
   private void late(Worker worker, Task task) {
-    if (task.brief) {
+    if (task.shortLease) {
       worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
       term.release(task);
     } else {
@@ -202,7 +204,7 @@
 
   private void elsewhere(Worker worker, Task task) {
     worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
-    if (task.uncertain) {
+    if (task.startInDoubt) {
       // An earlier copy of this order may still be on its way and run later; the stop bars it.
       stop(worker, task.key());
     } else {
@@ -226,8 +228,8 @@
         && task.runsAs(event.worker(), event.run().run())) {
       confirm(task);
     }
-    if (!worker.looking) {
-      look(worker, 0);
+    if (!worker.pollInFlight) {
+      poll(worker, 0);
     }
   }
 
@@ -242,28 +244,30 @@
     }
   }
 
-  void look(Worker worker, long waitMillis) {
-    if (worker.looking || !worker.info.reachable()) {
+  void poll(Worker worker, long waitMillis) {
+    if (worker.pollInFlight || !worker.info.reachable()) {
       return;
     }
-    worker.looking = true;
-    worker.lookedMillis = term.now.mono();
+    worker.pollInFlight = true;
+    worker.lastPollMillis = term.now.mono();
     // Only a life that still lists such ends is told which ones are stored. Where it has crashed
     // unseen, the next life would drop its own ends with these numbers.
-    boolean lists = worker.listsEnds && worker.firstListedEnd <= worker.acknowledgedEnd;
+    boolean lists =
+        worker.listsCompletions
+            && worker.firstListedCompletion <= worker.lastAcknowledgedCompletion;
     boolean acknowledges = lists && !worker.silent;
     // Where the next life may get what names ends it gets no lease with it, and its runs can be
     // ended by the leases that their starts bring.
-    boolean alone = acknowledges && worker.life().mayReturn();
-    long leftMillis = worker.clock.allLapsedMillis() - term.now.mono();
+    boolean alone = acknowledges && worker.incarnation().identifierReusable();
+    long leftMillis = worker.clock.lastLeaseEndMillis() - term.now.mono();
     boolean needed = !worker.placed.isEmpty() && worker.renewsLeases();
-    boolean longer = term.grantEndMillis() > worker.clock.allLapsedMillis();
+    boolean longer = term.grantEndMillis() > worker.clock.lastLeaseEndMillis();
     boolean leaseFirst = alone && needed && longer && leftMillis < LEAST_LEFT_LEASE_MILLIS;
     long leaseEnd = alone && !leaseFirst ? noLease(worker) : leaseEnd(worker);
-    long acknowledged = acknowledges && !leaseFirst ? worker.acknowledgedEnd : 0;
+    long acknowledged = acknowledges && !leaseFirst ? worker.lastAcknowledgedCompletion : 0;
     worker.acknowledgements.sent(acknowledged, term.now.mono());
     worker.lateLeases.asked(leaseEnd > 0, term.now.mono());
-    term.out.add(
+    term.effects.add(
         new JobEffect.LookAtWorker(
             worker.target(), leaseEnd, acknowledged, alone ? 0 : waitMillis));
   }
@@ -286,7 +290,9 @@
     return 0;
   }
 
-  long waitMillis(Worker worker) {
-    return worker.contended() ? term.timing.contendedWaitMillis() : term.timing.lookWaitMillis();
+  long pollWaitMillis(Worker worker) {
+    return worker.contended()
+        ? term.timing.contendedPollWaitMillis()
+        : term.timing.pollWaitMillis();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Pacing.java
+++ b/core/src/main/java/org/cottontack/core/job/Pacing.java
@@ -71,7 +71,7 @@
   List<JobEffect> adjust(Worker worker, long nowMillis) {
     worker.serving().forEach(task -> watch(task, nowMillis));
     List<Task> fillers =
-        worker.filling().filter(task -> task.order == Task.Order.CONFIRMED).toList();
+        worker.bestEffort().filter(task -> task.order == Task.Order.CONFIRMED).toList();
     List<JobEffect> orders = new ArrayList<>();
     if (fillers.isEmpty()) {
       return orders;
@@ -145,7 +145,7 @@
             .mapToDouble(
                 entry -> {
                   double effect = interference.effect(worker, entry.getKey(), filling);
-                  return effect < Crowding.LEAST_EFFECT
+                  return effect < ContentionSnapshot.LEAST_EFFECT
                       ? 1
                       : Math.max(0, entry.getValue()) / effect;
                 })
@@ -180,9 +180,9 @@
    */
   Optional<Task> stuck(Worker worker, long nowMillis) {
     return worker
-        .filling()
+        .bestEffort()
         .filter(task -> task.order == Task.Order.CONFIRMED && task.pace < Task.LOW_PACE)
-        .filter(task -> !task.bound(nowMillis))
+        .filter(task -> !task.pinned(nowMillis))
         .filter(Pacing::losesLittle)
         .filter(task -> task.missedMillis(nowMillis) > MOVE_MILLIS + task.unsavedMillis(nowMillis))
         .max(Comparator.comparingDouble(task -> harm(worker, task)));
--- a/core/src/main/java/org/cottontack/core/job/Reach.java
+++ b/core/src/main/java/org/cottontack/core/job/PartitionDetector.java
@@ -9,19 +9,19 @@
  * partitioned from the others and still reaches the store, so its leader keeps its lease while most
  * workers get nothing new until the cut heals. An instance on the other side reaches more of them.
  */
-final class Reach {
+final class PartitionDetector {
 
   /** Share of the registered workers that must be silent: more than one of two equal sides. */
   private static final double MOST_SILENT = 0.6;
 
-  private Reach() {}
+  private PartitionDetector() {}
 
   /** Returns whether all workers that answer are in one data centre, and most do not answer. */
   static boolean cutOff(Collection<Worker> workers) {
     List<Worker> registered = workers.stream().filter(worker -> worker.registered).toList();
     List<DataCentreId> answering =
         registered.stream()
-            .filter(worker -> worker.heard && !worker.silent)
+            .filter(worker -> worker.everAnswered && !worker.silent)
             .map(worker -> worker.info.dataCentre())
             .distinct()
             .toList();
@@ -39,7 +39,7 @@
         workers.stream()
             .filter(worker -> worker.registered && worker.info.dataCentre().equals(dataCentre))
             .toList();
-    long answering = there.stream().filter(worker -> worker.heard && !worker.silent).count();
+    long answering = there.stream().filter(worker -> worker.everAnswered && !worker.silent).count();
     return answering >= (1 - MOST_SILENT) * there.size();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Placer.java
+++ b/core/src/main/java/org/cottontack/core/job/PlacementPass.java
@@ -6,39 +6,41 @@
 import java.util.stream.Collectors;
 
 /** One pass over what waits: the most urgent job first, each task to the best worker. */
-final class Placer {
+final class PlacementPass {
 
   private final Term term;
-  private final Placement placement;
+  private final WorkerSelector workerSelector;
   private final Urgency urgency;
-  private final ShortRoom shortRoom = new ShortRoom();
+  private final ShortTaskReserve shortTaskReserve = new ShortTaskReserve();
 
   /** Tasks of which some worker runs what nobody wants; another run would be beside that one. */
   private Set<TaskName> runningUnwanted = Set.of();
 
-  Placer(Term term, Placement placement, Urgency urgency) {
+  PlacementPass(Term term, WorkerSelector workerSelector, Urgency urgency) {
     this.term = term;
-    this.placement = placement;
+    this.workerSelector = workerSelector;
     this.urgency = urgency;
   }
 
   void place() {
-    if (term.hungry.isEmpty() || !term.roomChanged) {
+    if (term.jobsToPlace.isEmpty() || !term.roomChanged) {
       return;
     }
     term.roomChanged = false;
-    placement.begin(term.workers.values());
-    shortRoom.begin(term.workers.values(), term.hungry, term.table, term.now.mono());
+    workerSelector.begin(term.workers.values());
+    shortTaskReserve.begin(term.workers.values(), term.jobsToPlace, term.table, term.now.mono());
     runningUnwanted =
         term.workers.values().stream()
-            .flatMap(worker -> worker.strays.keySet().stream())
+            .flatMap(worker -> worker.orphans.keySet().stream())
             .map(RunKey::task)
             .collect(Collectors.toSet());
-    NoRoom noRoom = new NoRoom();
-    urgency.order(term.hungry, term.now.mono()).forEach(job -> placeJob(job, noRoom));
+    UnplaceableSteps unplaceableSteps = new UnplaceableSteps();
+    urgency
+        .order(term.jobsToPlace, term.now.mono())
+        .forEach(job -> placeJob(job, unplaceableSteps));
   }
 
-  private void placeJob(Job job, NoRoom noRoom) {
+  private void placeJob(Job job, UnplaceableSteps unplaceableSteps) {
     JobQueue queue = term.table.current(job.spec.queue());
     List<Task> ready = job.ready().toList();
     boolean all = true;
@@ -48,10 +50,12 @@
         continue;
       }
       Optional<Worker> worker =
-          runningUnwanted.contains(task.name) ? Optional.empty() : choose(task, queue, noRoom);
+          runningUnwanted.contains(task.name)
+              ? Optional.empty()
+              : choose(task, queue, unplaceableSteps);
       if (worker.isPresent()) {
         placeTask(task, worker.get());
-        shortRoom.placed(task, queue.pool());
+        shortTaskReserve.placed(task, queue.pool());
         continue;
       }
       all = false;
@@ -60,26 +64,28 @@
       }
     }
     if (all) {
-      term.hungry.remove(job);
+      term.jobsToPlace.remove(job);
     }
     notePlaced(job, ready);
   }
 
-  private Optional<Worker> choose(Task task, JobQueue queue, NoRoom noRoom) {
-    boolean hopeless = noRoom.covers(task.spec, queue) && !placement.anywhere(task.job, queue);
-    if (hopeless || !shortRoom.admits(task, queue.pool())) {
+  private Optional<Worker> choose(Task task, JobQueue queue, UnplaceableSteps unplaceableSteps) {
+    boolean hopeless =
+        unplaceableSteps.covers(task.spec, queue) && !workerSelector.anywhere(task.job, queue);
+    if (hopeless || !shortTaskReserve.admits(task, queue.pool())) {
       return Optional.empty();
     }
-    Optional<Worker> worker = placement.choose(task, queue, term.workers.values(), term.now.mono());
+    Optional<Worker> worker =
+        workerSelector.choose(task, queue, term.workers.values(), term.now.mono());
     if (worker.isEmpty() && !heldBack(task)) {
-      noRoom.add(task.spec, queue);
+      unplaceableSteps.add(task.spec, queue);
     }
     return worker;
   }
 
   /** Returns whether a task waits for reasons of its own, which say nothing of its siblings. */
   private boolean heldBack(Task task) {
-    return task.bound(term.now.mono()) || runningUnwanted.contains(task.name);
+    return task.pinned(term.now.mono()) || runningUnwanted.contains(task.name);
   }
 
   private void notePlaced(Job job, List<Task> ready) {
@@ -98,7 +104,7 @@
                           + t.worker.worker())
               .collect(Collectors.joining(" "));
       int open = ready.size() - placed.size();
-      term.note(
+      term.logEvent(
           "job.placed",
           job.spec.id(),
           "table=" + term.table.version() + " left=" + open + " " + where);
@@ -106,7 +112,7 @@
   }
 
   private void placeTask(Task task, Worker worker) {
-    task.place(worker.life(), term.now.mono());
+    task.place(worker.incarnation(), term.now.mono());
     worker.add(task);
     term.dirty.add(task.job);
     if (task.job.phase == JobPhase.QUEUED) {
--- a/core/src/main/java/org/cottontack/core/job/Saver.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
@@ -13,27 +13,27 @@
  * Saves progress, one transaction at a time. Start orders leave after their placement is saved,
  * repeated ones after that copies may come, and ends are acknowledged after they are.
  */
-final class Saver {
+final class ProgressSaver {
 
   private static final long NOT_HELD = Long.MAX_VALUE;
 
   private final Term term;
   private final Orders orders;
   private final LearnedText learned;
-  private final Map<WorkerLife, Long> savingEnds = new LinkedHashMap<>();
+  private final Map<WorkerIncarnation, Long> savingEnds = new LinkedHashMap<>();
   private final List<RunKey> savingStarts = new ArrayList<>();
   private boolean saving;
   private long learnedMillis;
-  private Set<WorkerLife> savedHiding = Set.of();
-  private Map<WorkerLife, Long> savedHeld = Map.of();
+  private Set<WorkerIncarnation> savedHiding = Set.of();
+  private Map<WorkerIncarnation, Long> savedHeld = Map.of();
 
   /** Lives to which ends were acknowledged that the last text was to have, and those it has. */
-  private Set<WorkerLife> toStore = Set.of();
+  private Set<WorkerIncarnation> toStore = Set.of();
 
-  private Set<WorkerLife> stored = Set.of();
+  private Set<WorkerIncarnation> stored = Set.of();
   private final Set<String> cutNoted = new HashSet<>();
 
-  Saver(Term term, Orders orders, LearnedText learned) {
+  ProgressSaver(Term term, Orders orders, LearnedText learned) {
     this.term = term;
     this.orders = orders;
     this.learned = learned;
@@ -55,46 +55,54 @@
         .forEach(savingStarts::add);
     if (term.dirty.isEmpty()) {
       term.workers.values().stream()
-          .filter(worker -> worker.acknowledgeableEnd(now) > worker.acknowledgedEnd)
-          .forEach(worker -> savingEnds.put(worker.life(), worker.acknowledgeableEnd(now)));
+          .filter(
+              worker ->
+                  worker.lastAcknowledgeableCompletion(now) > worker.lastAcknowledgedCompletion)
+          .forEach(
+              worker ->
+                  savingEnds.put(worker.incarnation(), worker.lastAcknowledgeableCompletion(now)));
     }
     savingEnds.keySet().forEach(term::acknowledging);
     // One for which there was no place is tried again only when a text is due.
-    Set<WorkerLife> written = learnedDue() ? stored : toStore;
-    term.livesUnsaved |=
-        savingEnds.keySet().stream().anyMatch(life -> life.mayReturn() && !written.contains(life));
-    if (!rows.isEmpty() || term.livesUnsaved) {
+    Set<WorkerIncarnation> written = learnedDue() ? stored : toStore;
+    term.incarnationsUnsaved |=
+        savingEnds.keySet().stream()
+            .anyMatch(life -> life.identifierReusable() && !written.contains(life));
+    if (!rows.isEmpty() || term.incarnationsUnsaved) {
       saving = true;
-      term.out.add(new JobEffect.SaveProgress(rows, learnedIfDue()));
+      term.effects.add(new JobEffect.SaveProgress(rows, learnedIfDue()));
     } else if (!savingEnds.isEmpty()) {
       saved();
     }
   }
 
   void restoreLearned(String text) {
-    Set<WorkerLife> hiding = new LinkedHashSet<>();
-    Set<WorkerLife> acknowledged = new HashSet<>();
-    Map<WorkerLife, Long> held = new HashMap<>();
+    Set<WorkerIncarnation> hiding = new LinkedHashSet<>();
+    Set<WorkerIncarnation> acknowledged = new HashSet<>();
+    Map<WorkerIncarnation, Long> held = new HashMap<>();
     final long skipped = learned.restore(text, hiding, acknowledged, held);
-    term.heldLives.inherit(held, term.startMillis + LateStart.LATEST_MILLIS);
+    term.unlistedDeferrals.inherit(held, term.startMillis + LateStart.LATEST_MILLIS);
     savedHeld = held;
-    term.hidingLives.inherit(hiding, term.now.mono());
+    term.unlistedSuppressions.inherit(hiding, term.now.mono());
     acknowledged.forEach(term::inheritAcknowledged);
     if (skipped > 0) {
-      term.note("learned.skipped", "lines", Long.toString(skipped));
+      term.logEvent("learned.skipped", "lines", Long.toString(skipped));
     }
   }
 
   private String learnedIfDue() {
-    Set<WorkerLife> hiding = term.hiding();
-    Map<WorkerLife, Long> held = term.firstHeld();
-    if (!learnedDue() && hiding.equals(savedHiding) && heldIsSaved(held) && !term.livesUnsaved) {
+    Set<WorkerIncarnation> hiding = term.hiding();
+    Map<WorkerIncarnation, Long> held = term.firstHeld();
+    if (!learnedDue()
+        && hiding.equals(savedHiding)
+        && heldIsSaved(held)
+        && !term.incarnationsUnsaved) {
       return "";
     }
     learnedMillis = term.now.mono();
     savedHiding = hiding;
     savedHeld = held;
-    term.livesUnsaved = false;
+    term.incarnationsUnsaved = false;
     toStore = term.acknowledgedLives();
     LearnedText.Written written = learned.write(hiding, toStore, held);
     stored = LearnedText.acknowledged(written.text());
@@ -104,7 +112,7 @@
   }
 
   /** Returns whether the next leader would hold all that is held: it does so from a number on. */
-  private boolean heldIsSaved(Map<WorkerLife, Long> held) {
+  private boolean heldIsSaved(Map<WorkerIncarnation, Long> held) {
     return held.entrySet().stream()
         .allMatch(entry -> savedHeld.getOrDefault(entry.getKey(), NOT_HELD) <= entry.getValue());
   }
@@ -118,14 +126,14 @@
     if (lines == 0) {
       cutNoted.remove(kind);
     } else if (cutNoted.add(kind)) {
-      term.note("learned.cut", kind, "lines=" + lines);
+      term.logEvent("learned.cut", kind, "lines=" + lines);
     }
   }
 
   void saved() {
     saving = false;
     List<RunKey> starts = List.copyOf(savingStarts);
-    final Map<WorkerLife, Long> ends = new LinkedHashMap<>(savingEnds);
+    final Map<WorkerIncarnation, Long> ends = new LinkedHashMap<>(savingEnds);
     savingStarts.clear();
     savingEnds.clear();
     starts.forEach(this::startIfPlaced);
@@ -149,12 +157,12 @@
   }
 
   /** Returns whether the next leader would know that a life was named ends. */
-  private boolean mayAcknowledge(WorkerLife life) {
-    return !life.mayReturn() || stored.contains(life);
+  private boolean mayAcknowledge(WorkerIncarnation life) {
+    return !life.identifierReusable() || stored.contains(life);
   }
 
   private void acknowledge(Worker worker, long number) {
-    worker.acknowledgedEnd = Math.max(worker.acknowledgedEnd, number);
-    orders.look(worker, orders.waitMillis(worker));
+    worker.lastAcknowledgedCompletion = Math.max(worker.lastAcknowledgedCompletion, number);
+    orders.poll(worker, orders.pollWaitMillis(worker));
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -34,7 +34,7 @@
       int failures,
       int crashes,
       int blamed,
-      Optional<WorkerLife> worker,
+      Optional<WorkerIncarnation> worker,
       String checkpoint,
       boolean copied) {
 
@@ -51,11 +51,11 @@
           task.blamed,
           worker(task),
           task.checkpoint,
-          task.copied);
+          task.duplicateStartPossible);
     }
 
     /** A task that waits for a start on its way to expire names the worker that it was sent to. */
-    private static Optional<WorkerLife> worker(Task task) {
+    private static Optional<WorkerIncarnation> worker(Task task) {
       return Optional.ofNullable(task.worker)
           .or(() -> task.phase == Task.Phase.WAITING ? task.refusing() : Optional.empty());
     }
@@ -68,7 +68,8 @@
       }
       boolean crashed = fields.length >= FIELDS + CRASH_FIELDS;
       boolean stated = (fields.length - FIELDS) % CRASH_FIELDS == 1;
-      long born = stated ? Long.parseLong(fields[fields.length - 1]) : WorkerLife.UNSTATED;
+      long born =
+          stated ? Long.parseLong(fields[fields.length - 1]) : WorkerIncarnation.UNKNOWN_START_TIME;
       return new Line(
           Integer.parseInt(fields[0]),
           Integer.parseInt(fields[1]),
@@ -80,7 +81,7 @@
           crashed ? Integer.parseInt(fields[9]) : 0,
           Optional.of(fields[6])
               .filter(name -> !name.equals(NO_WORKER))
-              .map(name -> new WorkerLife(new WorkerId(name), born)),
+              .map(name -> new WorkerIncarnation(new WorkerId(name), born)),
           URLDecoder.decode(fields[7], StandardCharsets.UTF_8),
           stated && fields[fields.length - 1].startsWith(COPIED));
     }
@@ -100,8 +101,13 @@
               URLEncoder.encode(checkpoint, StandardCharsets.UTF_8));
       // An earlier version reads no longer lines than it writes, and leaves such a job alone.
       String counted = crashes > 0 ? line + " " + crashes + " " + blamed : line;
-      long born = worker.map(WorkerLife::bornMillis).orElse(WorkerLife.UNSTATED);
-      return born == WorkerLife.UNSTATED ? counted : counted + " " + (copied ? COPIED : "") + born;
+      long born =
+          worker
+              .map(WorkerIncarnation::startTimeMillis)
+              .orElse(WorkerIncarnation.UNKNOWN_START_TIME);
+      return born == WorkerIncarnation.UNKNOWN_START_TIME
+          ? counted
+          : counted + " " + (copied ? COPIED : "") + born;
     }
   }
 
@@ -163,7 +169,7 @@
     task.blamed = line.blamed();
     task.worker = line.worker().orElse(null);
     task.checkpoint = line.checkpoint();
-    task.copied = line.copied();
+    task.duplicateStartPossible = line.copied();
     task.order = Task.Order.CONFIRMED;
     task.pace = task.spec.is(StepSpec.Trait.FILLS) ? Task.INHERITED_PACE : Task.FULL_PACE;
   }
--- a/core/src/main/java/org/cottontack/core/job/ShortRoom.java
+++ b/core/src/main/java/org/cottontack/core/job/ShortTaskReserve.java
@@ -10,7 +10,7 @@
  * at once. A service that never ran begins only where as much stays free as short tasks needed at
  * their last peak. One that did run returns at once, whatever that leaves: its users miss it.
  */
-final class ShortRoom {
+final class ShortTaskReserve {
 
   /**
    * Time in which half of a peak is forgotten, in milliseconds: bursts come some tens of seconds
@@ -61,7 +61,7 @@
     }
 
     boolean admits(long cpuMillis) {
-      return Placement.roomy(used, capacity) || pieces - cpuMillis + held >= peak;
+      return WorkerSelector.roomy(used, capacity) || pieces - cpuMillis + held >= peak;
     }
   }
 
@@ -74,7 +74,7 @@
         .filter(Worker::countsForPool)
         .forEach(worker -> pool(worker.info.pool()).add(worker));
     hungry.stream()
-        .filter(job -> job.spec.steps().stream().anyMatch(ShortRoom::isShort))
+        .filter(job -> job.spec.steps().stream().anyMatch(ShortTaskReserve::isShort))
         .forEach(job -> pool(table.current(job.spec.queue()).pool()).waiting += waiting(job));
     pools
         .values()
--- a/core/src/main/java/org/cottontack/core/job/HiddenEnds.java
+++ b/core/src/main/java/org/cottontack/core/job/SuppressedCompletions.java
@@ -12,7 +12,7 @@
  * by itself before it can be done: the lease that its start brings is the only one. No later order
  * is needed for that, so it holds where stops are lost or the leader is.
  */
-final class HiddenEnds {
+final class SuppressedCompletions {
 
   /** Stands for an unknown number of ends. */
   static final long ANY = Long.MAX_VALUE;
@@ -31,8 +31,8 @@
    *
    * @param leaseEndMillis when, on our clock, all leases that others may have given have ended
    */
-  static HiddenEnds any(long leaseEndMillis) {
-    HiddenEnds ends = new HiddenEnds();
+  static SuppressedCompletions any(long leaseEndMillis) {
+    SuppressedCompletions ends = new SuppressedCompletions();
     ends.upTo(ANY);
     ends.leasedUntil(leaseEndMillis);
     return ends;
@@ -92,8 +92,8 @@
     if (!stops(task.spec)) {
       return false;
     }
-    hidden -= task.brief && task.began && hidden != ANY ? 1 : 0;
-    return !task.brief;
+    hidden -= task.shortLease && task.began && hidden != ANY ? 1 : 0;
+    return !task.shortLease;
   }
 
   /** Returns whether a run that was done may not begin again. */
--- a/core/src/main/java/org/cottontack/core/job/Task.java
+++ b/core/src/main/java/org/cottontack/core/job/Task.java
@@ -46,10 +46,10 @@
    * @param on the life that listed it
    * @param number its number there
    */
-  record EarlierEnd(WorkerLife on, long number) {}
+  record EarlierCompletion(WorkerIncarnation on, long number) {}
 
   /** A start that left for a life, and has no answer yet. */
-  private record Awaited(WorkerLife to, int run, LateStart start) {}
+  private record PendingStart(WorkerIncarnation to, int run, LateStart start) {}
 
   /** What is known about the start order of the present run. */
   enum Order {
@@ -94,7 +94,7 @@
   /** How many of these crashes this task is the likeliest cause of. */
   int blamed;
 
-  WorkerLife worker;
+  WorkerIncarnation worker;
   String checkpoint = "";
   Order order = Order.UNSAVED;
   long confirmedMillis;
@@ -103,13 +103,13 @@
   /** When the worker last listed the present run; 0 if it never did. */
   long listedMillis;
 
-  boolean uncertain;
+  boolean startInDoubt;
 
   /**
    * Whether a copy of its start, or the start of an earlier run, may come after the present run has
    * begun. The next leader cannot tell from the worker, so it is stored before the start leaves.
    */
-  boolean copied;
+  boolean duplicateStartPossible;
 
   /** Whether it was said that the present run is on a worker though its job is cancelled. */
   boolean cancelNoted;
@@ -127,19 +127,19 @@
   boolean began;
 
   /** Whether the present run ends with its lease before it can be done. */
-  boolean brief;
+  boolean shortLease;
 
   private Optional<LateStart> lateStart = Optional.empty();
 
   /** The last start that left, until it is answered; its run may be over by then. */
-  private Optional<Awaited> awaited = Optional.empty();
+  private Optional<PendingStart> pendingStart = Optional.empty();
 
   /** Ends of earlier runs that say it is done; they become final when the present run is over. */
-  private final List<EarlierEnd> earlierEnds = new ArrayList<>();
+  private final List<EarlierCompletion> earlierCompletions = new ArrayList<>();
 
   int progress;
   long progressMillis;
-  final Set<WorkerLife> failedOn = new HashSet<>();
+  final Set<WorkerIncarnation> failedOn = new HashSet<>();
   int pace = FULL_PACE;
   long pacedMillis;
   private double slowedMillis;
@@ -170,13 +170,13 @@
   }
 
   /** Returns whether this run on this worker is the one in force. */
-  boolean runsAs(WorkerLife on, int number) {
+  boolean runsAs(WorkerIncarnation on, int number) {
     return phase == Phase.PLACED && run == number && on.equals(worker);
   }
 
   /** Returns whether the present run may have begun: its order has left. */
   boolean mayHaveBegun() {
-    return order == Order.SENT || order == Order.CONFIRMED || uncertain;
+    return order == Order.SENT || order == Order.CONFIRMED || startInDoubt;
   }
 
   /** Takes in that its start leaves. */
@@ -184,12 +184,12 @@
     order = Order.SENT;
     sentByUs = true;
     sentMillis = nowMillis;
-    awaited.ifPresent(other -> expectLate(other.start(), nowMillis));
+    pendingStart.ifPresent(other -> expectLate(other.start(), nowMillis));
     lateStart = lateStart.filter(start -> !start.expired(nowMillis));
-    awaited =
+    pendingStart =
         Optional.of(worker)
-            .filter(WorkerLife::mayReturn)
-            .map(to -> new Awaited(to, run, LateStart.sent(to, spec, nowMillis)));
+            .filter(WorkerIncarnation::identifierReusable)
+            .map(to -> new PendingStart(to, run, LateStart.sent(to, spec, nowMillis)));
   }
 
   /** Returns when its start left last, on our steady clock. */
@@ -199,10 +199,10 @@
 
   /** Takes in that its start got no answer, or that its worker ended before one came. */
   void unanswered() {
-    uncertain = true;
+    startInDoubt = true;
     unansweredMillis = sentMillis;
-    awaited.ifPresent(sent -> expectLate(sent.start(), sentMillis));
-    awaited = Optional.empty();
+    pendingStart.ifPresent(sent -> expectLate(sent.start(), sentMillis));
+    pendingStart = Optional.empty();
   }
 
   /** Takes in that its worker, asked at a time, does not list the present run. */
@@ -219,7 +219,7 @@
 
   /** Returns whether its worker left a start unanswered, and answered something sent later. */
   boolean startIgnored() {
-    return uncertain && absentMillis > unansweredMillis;
+    return startInDoubt && absentMillis > unansweredMillis;
   }
 
   /** Returns when the last start of the present run was sent that got no answer. */
@@ -228,16 +228,16 @@
   }
 
   /** Takes in what became of a start, whether its run is still in force or not. */
-  void startEnded(WorkerLife on, int number, boolean certain) {
-    Optional<Awaited> sent =
-        awaited.filter(other -> other.run() == number && other.to().equals(on));
+  void startEnded(WorkerIncarnation on, int number, boolean certain) {
+    Optional<PendingStart> sent =
+        pendingStart.filter(other -> other.run() == number && other.to().equals(on));
     sent.filter(other -> !certain).ifPresent(other -> expectLate(other.start(), sentMillis));
-    awaited = sent.isPresent() ? Optional.empty() : awaited;
+    pendingStart = sent.isPresent() ? Optional.empty() : pendingStart;
   }
 
   /** Returns what bars as much as all starts that may be on their way. */
   private Optional<LateStart> onItsWay() {
-    Optional<LateStart> start = awaited.map(Awaited::start);
+    Optional<LateStart> start = pendingStart.map(PendingStart::start);
     return lateStart.map(other -> start.map(other::and).orElse(other)).or(() -> start);
   }
 
@@ -252,7 +252,7 @@
 
   /** Takes in that the present run has begun: what an earlier leader sent has arrived. */
   void found() {
-    if (!sentByUs && !copied) {
+    if (!sentByUs && !duplicateStartPossible) {
       lateStart = Optional.empty();
     }
   }
@@ -260,28 +260,29 @@
   /** Takes in that its worker's present life has seen the present run end, or a stop of it. */
   void barred() {
     lateStart = lateStart.map(start -> start.refusedFrom(worker));
-    awaited =
-        awaited.map(sent -> new Awaited(sent.to(), sent.run(), sent.start().refusedFrom(worker)));
+    pendingStart =
+        pendingStart.map(
+            sent -> new PendingStart(sent.to(), sent.run(), sent.start().refusedFrom(worker)));
   }
 
   /** Takes in that no start on its way can reach any life of its worker. */
   void expectNoneLate() {
     lateStart = Optional.empty();
-    awaited = Optional.empty();
+    pendingStart = Optional.empty();
   }
 
   /** Returns the first life that refuses a start which may still be on its way. */
-  Optional<WorkerLife> refusing() {
+  Optional<WorkerIncarnation> refusing() {
     return onItsWay().map(LateStart::refusing);
   }
 
   /** Returns whether a start on its way keeps it from all workers but one. */
-  boolean bound(long nowMillis) {
-    return boundMillis(nowMillis).isPresent();
+  boolean pinned(long nowMillis) {
+    return pinnedForMillis(nowMillis).isPresent();
   }
 
   /** Returns for how long a start on its way keeps it from all workers but one, if it does. */
-  OptionalLong boundMillis(long nowMillis) {
+  OptionalLong pinnedForMillis(long nowMillis) {
     return onItsWay().stream()
         .mapToLong(start -> start.boundUntilMillis(job.ignoredStarts) - nowMillis)
         .filter(millis -> millis > 0)
@@ -289,25 +290,25 @@
   }
 
   /** Returns whether a start which may still be on its way was sent to this worker. */
-  boolean boundTo(WorkerId id) {
+  boolean pinnedTo(WorkerId id) {
     return onItsWay().filter(start -> start.refusing().worker().equals(id)).isPresent();
   }
 
   /** Returns whether no start on its way could run beside a run on this life. */
-  boolean mayStartOn(WorkerLife life, long nowMillis) {
+  boolean mayStartOn(WorkerIncarnation life, long nowMillis) {
     // On the only worker left it would use up its attempts, or be blamed for that one's crashes.
     boolean eligible = !failedOn.contains(life) && !CrashBlame.suspect(this);
-    return !bound(nowMillis) || (eligible && onItsWay().orElseThrow().refusedBy(life));
+    return !pinned(nowMillis) || (eligible && onItsWay().orElseThrow().refusedBy(life));
   }
 
   /** Takes in that an earlier run was done: the present one is to end, however it does. */
-  void doneBefore(EarlierEnd end) {
-    earlierEnds.add(end);
+  void doneBefore(EarlierCompletion end) {
+    earlierCompletions.add(end);
   }
 
   /** Returns whether nobody wants the present run any more. */
   boolean unwanted() {
-    return job.phase.terminal() || !earlierEnds.isEmpty();
+    return job.phase.terminal() || !earlierCompletions.isEmpty();
   }
 
   /** Takes in that a run did not crash its worker. */
@@ -318,13 +319,13 @@
 
   /** Takes in that its start is to be sent again as soon as that is stored. */
   void copy() {
-    copied = true;
+    duplicateStartPossible = true;
     order = Order.UNSAVED;
   }
 
-  void place(WorkerLife on, long nowMillis) {
-    copied = bound(nowMillis);
-    if (!copied) {
+  void place(WorkerIncarnation on, long nowMillis) {
+    duplicateStartPossible = pinned(nowMillis);
+    if (!duplicateStartPossible) {
       // A start that was waited for no longer would be merged with the next, for another worker.
       expectNoneLate();
     }
@@ -332,12 +333,12 @@
     run++;
     worker = on;
     order = Order.UNSAVED;
-    uncertain = false;
+    startInDoubt = false;
     cancelNoted = false;
     sentByUs = false;
     absentMillis = nowMillis;
     began = false;
-    brief = false;
+    shortLease = false;
     placedMillis = nowMillis;
     listedMillis = 0;
     progress = 0;
@@ -355,12 +356,12 @@
    * Takes in that its worker has started again. Whether an order reached the next life, only
    * answers to looks at that one can tell, which are sent from the given time on.
    */
-  void mayRunOn(WorkerLife next, long sinceMillis) {
+  void mayRunOn(WorkerIncarnation next, long sinceMillis) {
     worker = next;
     order = Order.CONFIRMED;
     confirmedMillis = sinceMillis - 1;
     began = false;
-    brief = false;
+    shortLease = false;
     listedMillis = 0;
     cancelNoted = false;
   }
@@ -387,7 +388,7 @@
    * whenever a run there ends, some times in a row, and shows the same half second each time;
    * learned anew each time, rough reports counted for more than they tell.
    */
-  boolean news(long nowMillis) {
+  boolean hasNewLoad(long nowMillis) {
     if (load == toldLoad && nowMillis - toldMillis < REPORT_MILLIS) {
       return false;
     }
@@ -418,9 +419,9 @@
    *
    * @return ends that may be final now
    */
-  List<EarlierEnd> release() {
-    List<EarlierEnd> ends = List.copyOf(earlierEnds);
-    earlierEnds.clear();
+  List<EarlierCompletion> release() {
+    List<EarlierCompletion> ends = List.copyOf(earlierCompletions);
+    earlierCompletions.clear();
     phase = ends.isEmpty() ? Phase.WAITING : Phase.DONE;
     worker = null;
     return ends;
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -22,20 +22,20 @@
 
   final JobTiming timing;
   final long startMillis;
-  final long inheritedLapseMillis;
+  final long inheritedLeaseEndMillis;
   final Map<JobId, Job> jobs = new LinkedHashMap<>();
   final Map<WorkerId, Worker> workers = new TreeMap<>();
   final Evacuations evacuations = new Evacuations();
-  private final Lives lives = new Lives();
+  private final IncarnationHistory incarnations = new IncarnationHistory();
 
   /** Jobs with tasks that wait for a worker. */
-  final Set<Job> hungry = new LinkedHashSet<>();
+  final Set<Job> jobsToPlace = new LinkedHashSet<>();
 
   /** Jobs with occurrences that are not due yet. */
-  final Set<Job> timed = new LinkedHashSet<>();
+  final Set<Job> scheduledJobs = new LinkedHashSet<>();
 
   /** Jobs of which a task turned out to be done while a later run of it had its place. */
-  final Set<Job> unsettled = new LinkedHashSet<>();
+  final Set<Job> jobsToRecheck = new LinkedHashSet<>();
 
   /** Jobs whose progress is not saved. */
   final Set<Job> dirty = new LinkedHashSet<>();
@@ -46,29 +46,29 @@
   Moment renewal;
 
   /** When nothing may begin any more by what is known, on our steady clock. */
-  long startsUntilMillis = Long.MAX_VALUE;
+  long startDeadlineMillis = Long.MAX_VALUE;
 
   final IgnoredStarts ignoredStarts = new IgnoredStarts();
-  final HidingLives hidingLives = new HidingLives();
-  final HeldLives heldLives = new HeldLives();
+  final UnlistedSuppressions unlistedSuppressions = new UnlistedSuppressions();
+  final UnlistedDeferrals unlistedDeferrals = new UnlistedDeferrals();
 
   /** Whether the next leader would not know which lives hide ends, or may come to do so. */
-  boolean livesUnsaved;
+  boolean incarnationsUnsaved;
 
   boolean roomChanged;
   Moment now;
-  List<JobEffect> out = new ArrayList<>();
+  List<JobEffect> effects = new ArrayList<>();
 
   Term(JobTiming timing, JobTable table, Moment start, long inheritedLapseMillis) {
     this.timing = timing;
     this.table = table;
     this.now = start;
     this.startMillis = start.mono();
-    this.inheritedLapseMillis = inheritedLapseMillis;
+    this.inheritedLeaseEndMillis = inheritedLapseMillis;
   }
 
-  void note(String name, Object subject, String detail) {
-    out.add(new JobEffect.Note(name, subject.toString(), detail));
+  void logEvent(String name, Object subject, String detail) {
+    effects.add(new JobEffect.Note(name, subject.toString(), detail));
   }
 
   /** Returns the latest end, on our steady clock, of leases that are given now; may be past. */
@@ -77,18 +77,18 @@
   }
 
   /** Returns the worker that leads a life, if it still does. */
-  Optional<Worker> worker(WorkerLife life) {
+  Optional<Worker> worker(WorkerIncarnation life) {
     return Optional.ofNullable(workers.get(life.worker()))
-        .filter(worker -> worker.life().equals(life));
+        .filter(worker -> worker.incarnation().equals(life));
   }
 
   /** Returns the worker whose entry may speak of a life, if there is one. */
-  Optional<Worker> listedAs(WorkerLife life) {
+  Optional<Worker> listedAs(WorkerIncarnation life) {
     return Optional.ofNullable(workers.get(life.worker())).filter(worker -> worker.listedAs(life));
   }
 
   /** Returns the worker that holds a placed task, whichever life the task was placed on. */
-  Worker holder(Task task) {
+  Worker workerOf(Task task) {
     return workers.get(task.worker.worker());
   }
 
@@ -98,11 +98,11 @@
    * @param lapseMillis when leases that were not given through it have ended
    */
   Worker add(WorkerInfo info, long lapseMillis) {
-    Acknowledgements acknowledgements = lives.acknowledgements(info.id());
+    Acknowledgements acknowledgements = incarnations.acknowledgements(info.id());
     acknowledgements.unanswered();
-    LateLeases lateLeases = lives.lateLeases(info.id());
+    LateLeases lateLeases = incarnations.lateLeases(info.id());
     lateLeases.unanswered();
-    int restarts = lives.restarts(info.life());
+    int restarts = incarnations.restarts(info.incarnation());
     // The life before may be the one that leads, and answer again.
     Optional.ofNullable(workers.get(info.id())).ifPresent(this::forget);
     Worker worker =
@@ -112,45 +112,50 @@
   }
 
   /** Takes in that a life may be named ends as soon as this is stored. */
-  void acknowledging(WorkerLife life) {
-    lives.acknowledgements(life.worker()).acknowledging(life, now.mono());
+  void acknowledging(WorkerIncarnation life) {
+    incarnations.acknowledgements(life.worker()).acknowledging(life, now.mono());
   }
 
   /** Takes in that an earlier leader may have named ends to a life. */
-  void inheritAcknowledged(WorkerLife life) {
-    lives.acknowledgements(life.worker()).inherit(life, startMillis);
+  void inheritAcknowledged(WorkerIncarnation life) {
+    incarnations.acknowledgements(life.worker()).inherit(life, startMillis);
   }
 
   /** Returns the lives whose next ones may get acknowledgements that were meant for them. */
-  Set<WorkerLife> acknowledgedLives() {
-    return lives.acknowledged(workers::containsKey, now.mono());
+  Set<WorkerIncarnation> acknowledgedLives() {
+    return incarnations.acknowledged(workers::containsKey, now.mono());
   }
 
   /** Drops a worker that is not listed; it can be listed again. */
   void forget(Worker worker) {
     workers.remove(worker.info.id());
-    if (worker.heldEnds.first(now.mono()).isPresent()) {
-      heldLives.add(worker.life(), worker.heldEnds);
+    if (worker.deferredAcknowledgements.first(now.mono()).isPresent()) {
+      unlistedDeferrals.add(worker.incarnation(), worker.deferredAcknowledgements);
     }
-    if (!worker.hiddenEnds.none()) {
-      worker.hiddenEnds.leasedUntil(worker.clock.allLapsedMillis());
-      hidingLives.add(worker.life(), worker.hiddenEnds, now.mono());
+    if (!worker.suppressedCompletions.none()) {
+      worker.suppressedCompletions.leasedUntil(worker.clock.lastLeaseEndMillis());
+      unlistedSuppressions.add(worker.incarnation(), worker.suppressedCompletions, now.mono());
     }
   }
 
   /** Returns the lives that may never list some ends; those away for longest are last. */
-  Set<WorkerLife> hiding() {
-    Stream<WorkerLife> known =
-        workers.values().stream().filter(worker -> !worker.hiddenEnds.none()).map(Worker::life);
-    return Stream.concat(known, hidingLives.latestFirst().stream())
+  Set<WorkerIncarnation> hiding() {
+    Stream<WorkerIncarnation> known =
+        workers.values().stream()
+            .filter(worker -> !worker.suppressedCompletions.none())
+            .map(Worker::incarnation);
+    return Stream.concat(known, unlistedSuppressions.latestFirst().stream())
         .collect(Collectors.toCollection(LinkedHashSet::new));
   }
 
   /** Returns the lowest number that is held on each life with held ends. */
-  Map<WorkerLife, Long> firstHeld() {
-    Map<WorkerLife, Long> first = new HashMap<>(heldLives.first(now.mono()));
+  Map<WorkerIncarnation, Long> firstHeld() {
+    Map<WorkerIncarnation, Long> first = new HashMap<>(unlistedDeferrals.first(now.mono()));
     for (Worker worker : workers.values()) {
-      worker.heldEnds.first(now.mono()).ifPresent(number -> first.put(worker.life(), number));
+      worker
+          .deferredAcknowledgements
+          .first(now.mono())
+          .ifPresent(number -> first.put(worker.incarnation(), number));
     }
     return first;
   }
@@ -161,16 +166,16 @@
   }
 
   /** Has tasks of all jobs know of a start that turned out to be ignored. */
-  void noteIgnored(Task task) {
+  void recordIgnoredStart(Task task) {
     if (task.startIgnored() && ignoredStarts.add(task.unansweredMillis())) {
-      note("start.ignored", task.key(), task.worker.toString());
+      logEvent("start.ignored", task.key(), task.worker.toString());
     }
   }
 
   /** Says for how long at most a task that waits again is kept from other workers. */
-  void noteBound(Task task) {
-    task.boundMillis(now.mono())
-        .ifPresent(millis -> note("task.bound", task.key(), "millis=" + millis));
+  void logPinned(Task task) {
+    task.pinnedForMillis(now.mono())
+        .ifPresent(millis -> logEvent("task.bound", task.key(), "millis=" + millis));
   }
 
   /** Takes a task off its worker; it waits again unless it is done or its job has ended. */
@@ -182,16 +187,16 @@
     dirty.add(task.job);
     roomChanged = true;
     if (!task.job.phase.terminal()) {
-      hungry.add(task.job);
+      jobsToPlace.add(task.job);
     }
   }
 
-  private void settle(Task task, Task.EarlierEnd end) {
-    long millis = task.boundMillis(now.mono()).orElse(0);
+  private void settle(Task task, Task.EarlierCompletion end) {
+    long millis = task.pinnedForMillis(now.mono()).orElse(0);
     worker(end.on())
-        .map(on -> on.heldEnds)
-        .or(() -> heldLives.of(end.on()))
+        .map(on -> on.deferredAcknowledgements)
+        .or(() -> unlistedDeferrals.of(end.on()))
         .ifPresent(held -> held.hold(end.number(), now.mono(), millis));
-    unsettled.add(task.job);
+    jobsToRecheck.add(task.job);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/HidingLives.java
+++ b/core/src/main/java/org/cottontack/core/job/UnlistedSuppressions.java
@@ -15,7 +15,7 @@
  * the store lives on unlisted and comes back as the same life; one that stays away for longer than
  * that lasts is gone.
  */
-final class HidingLives {
+final class UnlistedSuppressions {
 
   /** Longest time for which a worker that is to come back is not listed, in milliseconds. */
   private static final long LONGEST_ABSENCE_MILLIS = 2 * 3_600_000;
@@ -26,7 +26,7 @@
    * @param ends which ends it may never list; nothing where only the leader before knew
    * @param seenMillis when it was last known to be there or stored
    */
-  private record Away(Optional<HiddenEnds> ends, long seenMillis) {
+  private record Away(Optional<SuppressedCompletions> ends, long seenMillis) {
 
     Away seen(long nowMillis) {
       return new Away(ends, nowMillis);
@@ -34,21 +34,21 @@
   }
 
   /** Those away for longest come first. */
-  private final Map<WorkerLife, Away> away = new LinkedHashMap<>();
+  private final Map<WorkerIncarnation, Away> away = new LinkedHashMap<>();
 
   /** Takes in that the worker of such a life is not listed. */
-  void add(WorkerLife life, HiddenEnds ends, long nowMillis) {
+  void add(WorkerIncarnation life, SuppressedCompletions ends, long nowMillis) {
     add(life, new Away(Optional.of(ends), nowMillis));
   }
 
-  private void add(WorkerLife life, Away known) {
+  private void add(WorkerIncarnation life, Away known) {
     away.remove(life);
     away.put(life, known);
   }
 
   /** Takes in what an earlier leader knew, the latest first. */
-  void inherit(Collection<WorkerLife> latestFirst, long nowMillis) {
-    Deque<WorkerLife> earliestFirst = new ArrayDeque<>();
+  void inherit(Collection<WorkerIncarnation> latestFirst, long nowMillis) {
+    Deque<WorkerIncarnation> earliestFirst = new ArrayDeque<>();
     latestFirst.forEach(earliestFirst::addFirst);
     earliestFirst.forEach(life -> add(life, new Away(Optional.empty(), nowMillis)));
   }
@@ -58,9 +58,9 @@
    *
    * @param leaseEndMillis when, on our clock, leases that others may have given it have ended
    */
-  Optional<HiddenEnds> of(WorkerLife life, long leaseEndMillis) {
+  Optional<SuppressedCompletions> of(WorkerIncarnation life, long leaseEndMillis) {
     return Optional.ofNullable(away.get(life))
-        .map(known -> known.ends().orElseGet(() -> HiddenEnds.any(leaseEndMillis)));
+        .map(known -> known.ends().orElseGet(() -> SuppressedCompletions.any(leaseEndMillis)));
   }
 
   /** Takes in that it is known from a worker itself what its life hides. */
@@ -79,8 +79,8 @@
   }
 
   /** Returns all of them, the latest first. */
-  Collection<WorkerLife> latestFirst() {
-    Deque<WorkerLife> latest = new ArrayDeque<>();
+  Collection<WorkerIncarnation> latestFirst() {
+    Deque<WorkerIncarnation> latest = new ArrayDeque<>();
     away.keySet().forEach(latest::addFirst);
     return latest;
   }
--- a/core/src/main/java/org/cottontack/core/job/NoRoom.java
+++ b/core/src/main/java/org/cottontack/core/job/UnplaceableSteps.java
@@ -8,7 +8,7 @@
  * and a few full workers: a task that asks for at least as much as one that found nothing is not
  * tried.
  */
-final class NoRoom {
+final class UnplaceableSteps {
 
   private record Refused(StepSpec step, String pool) {}
 
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -74,9 +74,9 @@
           .thenComparing(Comparator.comparingDouble(Turn::score).reversed())
           .thenComparing(turn -> turn.job().spec.id());
 
-  private final Estimates estimates;
+  private final DurationEstimates estimates;
 
-  Urgency(Estimates estimates) {
+  Urgency(DurationEstimates estimates) {
     this.estimates = estimates;
   }
 
@@ -87,7 +87,7 @@
 
   private Turn turn(Job job, long nowMillis) {
     int priority = job.spec.queue().priority();
-    if (job.spec.lasts()) {
+    if (job.spec.isLongRunning()) {
       long waited = nowMillis - job.arrivedMillis;
       Rank rank = job.begun || waited > LONGEST_PATIENCE_MILLIS ? Rank.FIRST : Rank.PATIENT;
       return new Turn(job, priority, rank, Double.MAX_VALUE);
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -39,25 +39,25 @@
   WorkerInfo info;
   final WorkerClock clock = new WorkerClock();
   final Map<RunKey, Task> placed = new HashMap<>();
-  final Map<RunKey, Resources> strays = new HashMap<>();
+  final Map<RunKey, Resources> orphans = new HashMap<>();
   final Map<RunKey, Long> stopsSent = new HashMap<>();
-  final List<Echo> echoes = new ArrayList<>();
+  final List<ResidualLoad> residualLoads = new ArrayList<>();
   private final Map<StepId, Integer> tasksOfSteps = new HashMap<>();
   private List<Task> services = List.of();
-  private Optional<Crowding> crowding = Optional.empty();
+  private Optional<ContentionSnapshot> contention = Optional.empty();
 
   /** Its last entry, where that speaks of a life that began before the one that has answered. */
-  Optional<WorkerInfo> oldEntry = Optional.empty();
+  Optional<WorkerInfo> staleEntry = Optional.empty();
 
   boolean registered;
-  boolean heard;
+  boolean everAnswered;
   boolean silent;
-  boolean looking;
-  boolean awaitNoted;
-  long lookedMillis = Long.MIN_VALUE / 2;
+  boolean pollInFlight;
+  boolean leaseWaitLogged;
+  long lastPollMillis = Long.MIN_VALUE / 2;
 
   /** When its last answer came. */
-  long heardMillis;
+  long lastAnswerMillis;
 
   /** End, on our clock, of the lease that the last look brings; 0 when it brings none. */
   long offeredLeaseMillis;
@@ -66,18 +66,18 @@
   private long heldLeaseMillis;
 
   /** Whether its last answer listed ends. */
-  boolean listsEnds;
+  boolean listsCompletions;
 
   /** Lowest number of the ends that its last answer listed. */
-  long firstListedEnd;
+  long firstListedCompletion;
 
   long avoidUntilMillis;
   private final Evacuations evacuations;
   private final int restarts;
-  private final long inheritedLapseMillis;
+  private final long inheritedLeaseEndMillis;
   private final Set<JobId> failedJobs = new HashSet<>();
   private long failedMillis;
-  HiddenEnds hiddenEnds = new HiddenEnds();
+  SuppressedCompletions suppressedCompletions = new SuppressedCompletions();
 
   /** Shared by all lives that this leader has seen. */
   final Acknowledgements acknowledgements;
@@ -85,10 +85,10 @@
   /** Shared by all lives that this leader has seen. */
   final LateLeases lateLeases;
 
-  HeldEnds heldEnds = new HeldEnds();
+  DeferredAcknowledgements deferredAcknowledgements = new DeferredAcknowledgements();
 
-  long seenEnd;
-  long acknowledgedEnd;
+  long lastSeenCompletion;
+  long lastAcknowledgedCompletion;
   Resources used = Resources.NONE;
   long servingCpu;
 
@@ -99,7 +99,7 @@
    * @param load processor time that it used, in thousandths of a core
    * @param endedMillis when it ended
    */
-  record Echo(String image, double load, long endedMillis) {}
+  record ResidualLoad(String image, double load, long endedMillis) {}
 
   /**
    * Creates what is known of a worker that was not asked yet.
@@ -121,56 +121,61 @@
     this.info = info;
     this.evacuations = evacuations;
     this.restarts = restarts;
-    this.inheritedLapseMillis = inheritedLapseMillis;
+    this.inheritedLeaseEndMillis = inheritedLapseMillis;
     this.acknowledgements = acknowledgements;
     this.lateLeases = lateLeases;
   }
 
-  WorkerLife life() {
-    return info.life();
+  WorkerIncarnation incarnation() {
+    return info.incarnation();
   }
 
   /** Returns whether a life is taken for one before this, which has answered. */
-  boolean outlived(WorkerLife other) {
-    return heard && other.mayReturn() && other.bornMillis() < life().bornMillis();
+  boolean outlived(WorkerIncarnation other) {
+    return everAnswered
+        && other.identifierReusable()
+        && other.startTimeMillis() < incarnation().startTimeMillis();
   }
 
   /** Returns whether its entry may speak of a life. */
-  boolean listedAs(WorkerLife life) {
-    return life().equals(life) || oldEntry.map(WorkerInfo::life).filter(life::equals).isPresent();
+  boolean listedAs(WorkerIncarnation life) {
+    return incarnation().equals(life)
+        || staleEntry.map(WorkerInfo::incarnation).filter(life::equals).isPresent();
   }
 
   /** Returns where orders to it go. */
   OrderTarget target() {
-    return new OrderTarget(info.life(), info.address(), restarts);
+    return new OrderTarget(info.incarnation(), info.address(), restarts);
   }
 
   /** Returns whether new work may be placed here. */
   boolean usable(long nowMillis) {
-    return registered && heard && !silent && !closed() && nowMillis >= avoidUntilMillis;
+    return registered && everAnswered && !silent && !closed() && nowMillis >= avoidUntilMillis;
   }
 
   /** Returns the highest end that may be acknowledged once it is stored. */
-  long acknowledgeableEnd(long nowMillis) {
-    return heldEnds.acknowledgeable(seenEnd, nowMillis);
+  long lastAcknowledgeableCompletion(long nowMillis) {
+    return deferredAcknowledgements.acknowledgeable(lastSeenCompletion, nowMillis);
   }
 
   /** Returns whether it will be known of a run that begins here whether it was done. */
   boolean admits(StepSpec spec, long nowMillis) {
-    if (hiddenEnds.none()) {
+    if (suppressedCompletions.none()) {
       return true;
     }
-    boolean probed = placed.values().stream().anyMatch(task -> HiddenEnds.matters(task.spec));
-    boolean leased = !strays.isEmpty() || nowMillis < clock.allLapsedMillis();
+    boolean probed =
+        placed.values().stream().anyMatch(task -> SuppressedCompletions.matters(task.spec));
+    boolean leased = !orphans.isEmpty() || nowMillis < clock.lastLeaseEndMillis();
     // A service never ends. It would keep all other work away for as long as it runs here.
     boolean beside = renewsLeases() && !probed;
-    return hiddenEnds.admits(spec, probed, beside || (placed.isEmpty() && !leased), nowMillis);
+    return suppressedCompletions.admits(
+        spec, probed, beside || (placed.isEmpty() && !leased), nowMillis);
   }
 
   /** Returns whether what runs here is to go on when its leases end. */
   boolean renewsLeases() {
-    return hiddenEnds.none()
-        || placed.values().stream().anyMatch(task -> !HiddenEnds.matters(task.spec));
+    return suppressedCompletions.none()
+        || placed.values().stream().anyMatch(task -> !SuppressedCompletions.matters(task.spec));
   }
 
   /**
@@ -197,7 +202,7 @@
   /** Returns what its answers have said so far, for a log line. */
   String answers() {
     return "clock=%d seenEnd=%d acknowledgedEnd=%d"
-        .formatted(clock.clockMillis(), seenEnd, acknowledgedEnd);
+        .formatted(clock.clockMillis(), lastSeenCompletion, lastAcknowledgedCompletion);
   }
 
   /** Returns whether the worker has less by now than what was placed here. */
@@ -237,7 +242,7 @@
    */
   long leftoverCpu() {
     long filling =
-        filling()
+        bestEffort()
             .mapToLong(task -> task.spec.need().cpuMillis() * task.pace / Task.FULL_PACE)
             .sum();
     return free().cpuMillis() - filling + (long) (IDLE_WHILE_SERVING * servingCpu);
@@ -247,7 +252,7 @@
    * Takes in that it answered a look that was sent at a time, and took the lease that it brought.
    */
   void answered(long sentMillis) {
-    if (sentMillis >= lookedMillis) {
+    if (sentMillis >= lastPollMillis) {
       heldLeaseMillis = Math.max(heldLeaseMillis, offeredLeaseMillis);
     }
   }
@@ -258,26 +263,26 @@
   }
 
   /** Returns when all leases, our own and those of leaders before us, have certainly ended. */
-  long lapsedMillis() {
-    return Math.max(clock.allLapsedMillis(), inheritedLapseMillis) + LAPSE_MARGIN_MILLIS;
+  long leasesEndedMillis() {
+    return Math.max(clock.lastLeaseEndMillis(), inheritedLeaseEndMillis) + LAPSE_MARGIN_MILLIS;
   }
 
   /** Returns whether tasks here wait until the leases of this worker, out of touch, have ended. */
-  boolean awaited() {
+  boolean awaitsLeaseEnd() {
     return (silent || !info.reachable()) && !placed.isEmpty();
   }
 
   /** Returns what decides whether one more task that fills may join. */
-  Crowding crowding(Interference interference, long nowMillis) {
-    if (crowding.isEmpty()) {
-      crowding = Optional.of(Crowding.of(this, interference, nowMillis));
+  ContentionSnapshot contention(Interference interference, long nowMillis) {
+    if (contention.isEmpty()) {
+      contention = Optional.of(ContentionSnapshot.of(this, interference, nowMillis));
     }
-    return crowding.get();
+    return contention.get();
   }
 
   /** Takes in that loads, paces or what runs here have changed. */
   void changed() {
-    crowding = Optional.empty();
+    contention = Optional.empty();
   }
 
   void add(Task task) {
@@ -313,8 +318,8 @@
   }
 
   /** Takes in a run that is not in force; returns whether it is the first time. */
-  boolean addStray(RunKey run, Resources amount) {
-    if (strays.putIfAbsent(run, amount) != null) {
+  boolean addOrphan(RunKey run, Resources amount) {
+    if (orphans.putIfAbsent(run, amount) != null) {
       return false;
     }
     used = used.plus(amount);
@@ -322,8 +327,8 @@
     return true;
   }
 
-  void removeStray(RunKey run) {
-    Resources amount = strays.remove(run);
+  void removeOrphan(RunKey run) {
+    Resources amount = orphans.remove(run);
     if (amount != null) {
       used = used.minus(amount);
       changed();
@@ -345,13 +350,13 @@
     return placed.values().stream().filter(task -> task.spec.serves());
   }
 
-  Stream<Task> filling() {
+  Stream<Task> bestEffort() {
     return placed.values().stream().filter(task -> task.spec.is(StepSpec.Trait.FILLS));
   }
 
   /** Returns whether tasks that fill run beside tasks that serve. */
   boolean contended() {
-    return !services.isEmpty() && filling().findAny().isPresent();
+    return !services.isEmpty() && bestEffort().findAny().isPresent();
   }
 
   /** Returns the share of the worker's processors that an amount is. */
--- a/core/src/main/java/org/cottontack/core/job/WorkerClock.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerClock.java
@@ -47,7 +47,7 @@
   }
 
   /** Returns when, on our clock, every lease given so far has ended. */
-  long allLapsedMillis() {
+  long lastLeaseEndMillis() {
     return latestEndMillis;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
@@ -7,7 +7,7 @@
 /**
  * What a worker says of itself when it registers.
  *
- * @param life who it is, and since when
+ * @param incarnation who it is, and since when
  * @param pool the pool it belongs to
  * @param address where it is reached, {@code host:port}
  * @param dataCentre its data centre
@@ -16,7 +16,7 @@
  * @param draining whether it is about to leave and takes nothing new
  */
 public record WorkerInfo(
-    WorkerLife life,
+    WorkerIncarnation incarnation,
     String pool,
     String address,
     DataCentreId dataCentre,
@@ -27,18 +27,18 @@
   private static final String NOWHERE = "";
 
   /** Returns a worker that is known only because work was once given to it. */
-  static WorkerInfo unlisted(WorkerLife life) {
+  static WorkerInfo unlisted(WorkerIncarnation life) {
     return new WorkerInfo(
         life, "", NOWHERE, new DataCentreId("unknown"), Resources.NONE, List.of(), true);
   }
 
   /** Returns the identifier, which a later life may have as well. */
   public WorkerId id() {
-    return life.worker();
+    return incarnation.worker();
   }
 
   /** Returns the same of another life at the same place, of which nothing else is known yet. */
-  WorkerInfo with(WorkerLife next) {
+  WorkerInfo with(WorkerIncarnation next) {
     return new WorkerInfo(next, pool, address, dataCentre, capacity, labels, false);
   }
 
--- a/core/src/main/java/org/cottontack/core/job/WorkerReport.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReport.java
@@ -5,19 +5,19 @@
 /**
  * What a worker answers when it is looked at.
  *
- * @param bornMillis when the life that answered began; {@link WorkerLife#UNSTATED} where it does
- *     not say so
+ * @param startTimeMillis when the life that answered began; {@link
+ *     WorkerIncarnation#UNKNOWN_START_TIME} where it does not say so
  * @param clockMillis the worker's own clock when it answered
  * @param running what runs on it
- * @param ended ends that were not acknowledged yet, oldest first
+ * @param completions ends that were not acknowledged yet, oldest first
  */
 public record WorkerReport(
-    long bornMillis, long clockMillis, List<Running> running, List<Ended> ended) {
+    long startTimeMillis, long clockMillis, List<Running> running, List<Completion> completions) {
 
   /** Keeps the lists immutable. */
   public WorkerReport {
     running = List.copyOf(running);
-    ended = List.copyOf(ended);
+    completions = List.copyOf(completions);
   }
 
   /**
@@ -37,13 +37,14 @@
    * @param number rises by one with each end on this life of the worker
    * @param task the task
    * @param run the run's number
-   * @param how how it ended
+   * @param status how it ended
    * @param checkpoint its last checkpoint, empty when there is none
    */
-  public record Ended(long number, TaskName task, int run, End how, String checkpoint) {}
+  public record Completion(
+      long number, TaskName task, int run, CompletionStatus status, String checkpoint) {}
 
   /** How a run ends. */
-  public enum End {
+  public enum CompletionStatus {
     /** Its work is done. */
     DONE,
     /** It failed, through its own fault or the worker's. */
--- a/core/src/main/java/org/cottontack/core/job/Reports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -5,29 +5,29 @@
 import java.util.Set;
 
 /** What workers report: what runs, what has ended, how tasks that share a worker fare. */
-final class Reports {
+final class WorkerReports {
 
   private final Term term;
   private final Orders orders;
   private final Lifecycle lifecycle;
-  private final Losses losses;
+  private final LostWorkers lostWorkers;
   private final Fleet fleet;
   private final Interference interference;
-  private final Estimates estimates;
+  private final DurationEstimates estimates;
   private final Pacing pacing;
 
-  Reports(
+  WorkerReports(
       Term term,
       Orders orders,
       Lifecycle lifecycle,
-      Losses losses,
+      LostWorkers lostWorkers,
       Fleet fleet,
       Interference interference,
-      Estimates estimates) {
+      DurationEstimates estimates) {
     this.term = term;
     this.orders = orders;
     this.lifecycle = lifecycle;
-    this.losses = losses;
+    this.lostWorkers = lostWorkers;
     this.fleet = fleet;
     this.interference = interference;
     this.estimates = estimates;
@@ -39,85 +39,95 @@
     if (worker == null) {
       return;
     }
-    worker.looking = false;
-    if (!worker.life().beganAt(event.report().bornMillis())) {
-      fleet.answered(worker, event.report().bornMillis(), event.sentMillis());
+    worker.pollInFlight = false;
+    if (!worker.incarnation().matchesStartTime(event.report().startTimeMillis())) {
+      fleet.answered(worker, event.report().startTimeMillis(), event.sentMillis());
       return;
     }
     worker.acknowledgements.answered();
     worker.lateLeases.answered();
-    if (!worker.heard) {
+    if (!worker.everAnswered) {
       hideEnds(worker, event);
       holdEnds(worker, event.report());
       earlierLives(worker, event.sentMillis());
     }
     // From this answer on the worker refuses an earlier leader's orders.
-    worker.heard = true;
+    worker.everAnswered = true;
     worker.silent = false;
     worker.answered(event.sentMillis());
-    worker.heardMillis = term.now.mono();
-    worker.listsEnds = !event.report().ended().isEmpty();
-    worker.firstListedEnd =
-        event.report().ended().stream().mapToLong(WorkerReport.Ended::number).min().orElse(0);
+    worker.lastAnswerMillis = term.now.mono();
+    worker.listsCompletions = !event.report().completions().isEmpty();
+    worker.firstListedCompletion =
+        event.report().completions().stream()
+            .mapToLong(WorkerReport.Completion::number)
+            .min()
+            .orElse(0);
     worker.clock.observe(event.report().clockMillis(), term.now.mono());
-    event.report().ended().stream()
-        .filter(ended -> ended.number() > worker.seenEnd)
+    event.report().completions().stream()
+        .filter(ended -> ended.number() > worker.lastSeenCompletion)
         .forEach(ended -> ended(worker, ended));
     Set<RunKey> listed = new HashSet<>();
     event.report().running().forEach(running -> listed.add(running(worker, running)));
     missing(worker, listed, event.sentMillis());
     interference.learn(worker, term.now.mono());
-    pacing.adjust(worker, term.now.mono()).forEach(term.out::add);
+    pacing.adjust(worker, term.now.mono()).forEach(term.effects::add);
     worker.changed();
     relocate(worker);
     abandonStalled(worker);
     term.roomChanged = true;
-    boolean toAcknowledge = worker.seenEnd > worker.acknowledgedEnd;
-    boolean busy = !worker.placed.isEmpty() || !worker.strays.isEmpty();
+    boolean toAcknowledge = worker.lastSeenCompletion > worker.lastAcknowledgedCompletion;
+    boolean busy = !worker.placed.isEmpty() || !worker.orphans.isEmpty();
     if (busy && !toAcknowledge) {
-      orders.look(worker, orders.waitMillis(worker));
+      orders.poll(worker, orders.pollWaitMillis(worker));
     }
   }
 
   /** Takes in which ends a life that answers for the first time may never list. */
   private void hideEnds(Worker worker, JobEvent.WorkerReported event) {
     long leaseEnd = term.now.mono() + Fleet.LONGEST_LEASE_MILLIS;
-    term.hidingLives.of(worker.life(), leaseEnd).ifPresent(ends -> worker.hiddenEnds = ends);
+    term.unlistedSuppressions
+        .of(worker.incarnation(), leaseEnd)
+        .ifPresent(ends -> worker.suppressedCompletions = ends);
     long born = WorkerClock.earliestBirth(event.report().clockMillis(), event.sentMillis());
-    long hidden = worker.acknowledgements.mayHaveReached(worker.life(), born);
-    worker.hiddenEnds.upTo(hidden);
+    long hidden = worker.acknowledgements.mayHaveReached(worker.incarnation(), born);
+    worker.suppressedCompletions.upTo(hidden);
     // What earlier leaders sent, this one does not know.
-    boolean inherited = born < term.inheritedLapseMillis + LateStart.LATEST_MILLIS;
-    if (worker.lateLeases.mayHaveReached(born) || inherited || hidden == HiddenEnds.ANY) {
-      worker.hiddenEnds.leasedUntil(leaseEnd);
+    boolean inherited = born < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
+    if (worker.lateLeases.mayHaveReached(born)
+        || inherited
+        || hidden == SuppressedCompletions.ANY) {
+      worker.suppressedCompletions.leasedUntil(leaseEnd);
     }
-    if (!worker.hiddenEnds.none()) {
-      term.livesUnsaved = true;
-      term.note("worker.hidesEnds", worker.life(), "");
+    if (!worker.suppressedCompletions.none()) {
+      term.incarnationsUnsaved = true;
+      term.logEvent("worker.hidesEnds", worker.incarnation(), "");
     }
-    term.hidingLives.remove(worker.info.id());
+    term.unlistedSuppressions.remove(worker.info.id());
   }
 
   /** Takes in which ends of a life that answers for the first time an earlier leader held. */
   private void holdEnds(Worker worker, WorkerReport report) {
-    HeldEnds held = term.heldLives.take(worker.life());
-    if (!report.ended().isEmpty()) {
-      worker.heldEnds = held;
+    DeferredAcknowledgements held = term.unlistedDeferrals.take(worker.incarnation());
+    if (!report.completions().isEmpty()) {
+      worker.deferredAcknowledgements = held;
     }
   }
 
   /** Takes in that what an earlier leader placed on earlier lives of a worker has ended there. */
   private void earlierLives(Worker worker, long sentMillis) {
     List<Task> runs =
-        worker.placed.values().stream().filter(task -> !task.worker.equals(worker.life())).toList();
+        worker.placed.values().stream()
+            .filter(task -> !task.worker.equals(worker.incarnation()))
+            .toList();
     runs.stream()
-        .filter(task -> worker.life().beganAt(task.worker.bornMillis()))
-        .forEach(task -> task.worker = worker.life());
-    List<Task> ended = runs.stream().filter(task -> !task.worker.equals(worker.life())).toList();
+        .filter(task -> worker.incarnation().matchesStartTime(task.worker.startTimeMillis()))
+        .forEach(task -> task.worker = worker.incarnation());
+    List<Task> ended =
+        runs.stream().filter(task -> !task.worker.equals(worker.incarnation())).toList();
     if (!ended.isEmpty()) {
-      losses.restarted(worker, ended, false, sentMillis);
-      worker.hiddenEnds.upTo(HiddenEnds.ANY);
-      worker.hiddenEnds.leasedUntil(term.now.mono() + Fleet.LONGEST_LEASE_MILLIS);
+      lostWorkers.restarted(worker, ended, false, sentMillis);
+      worker.suppressedCompletions.upTo(SuppressedCompletions.ANY);
+      worker.suppressedCompletions.leasedUntil(term.now.mono() + Fleet.LONGEST_LEASE_MILLIS);
     }
   }
 
@@ -131,7 +141,7 @@
         .stuck(worker, term.now.mono())
         .ifPresent(
             task -> {
-              term.note("run.moved", task.key(), worker.info.id() + " pace=" + task.pace);
+              term.logEvent("run.moved", task.key(), worker.info.id() + " pace=" + task.pace);
               orders.stop(worker, task.key());
             });
   }
@@ -152,7 +162,7 @@
     }
     stalled.forEach(
         task -> {
-          term.note("run.stalled", task.key(), worker.info.id() + " at " + task.progress + "%");
+          term.logEvent("run.stalled", task.key(), worker.info.id() + " at " + task.progress + "%");
           orders.stop(worker, task.key());
         });
   }
@@ -160,12 +170,12 @@
   private RunKey running(Worker worker, WorkerReport.Running running) {
     RunKey key = new RunKey(running.task(), running.run());
     Task task = term.find(running.task());
-    if (task == null || !task.runsAs(worker.life(), running.run())) {
+    if (task == null || !task.runsAs(worker.incarnation(), running.run())) {
       // A run that nobody wants still uses the worker, and it could end beside the wanted one.
       boolean first =
-          worker.addStray(key, task == null ? worker.info.capacity() : task.spec.reserved());
+          worker.addOrphan(key, task == null ? worker.info.capacity() : task.spec.reserved());
       if (first && task != null && task.job.phase == JobPhase.CANCELLED) {
-        term.note("run.cancelled", key, worker.info.id() + " not tracked");
+        term.logEvent("run.cancelled", key, worker.info.id() + " not tracked");
       }
       orders.stop(worker, key);
       return key;
@@ -187,55 +197,57 @@
     }
     task.progress = running.progress();
     task.load = running.load();
-    if (task.unwanted() || worker.hiddenEnds.stops(task.spec)) {
+    if (task.unwanted() || worker.suppressedCompletions.stops(task.spec)) {
       orders.stop(worker, key);
     }
     return key;
   }
 
-  private void ended(Worker worker, WorkerReport.Ended ended) {
-    worker.seenEnd = ended.number();
-    worker.hiddenEnds.listed();
-    worker.heldEnds.listed(ended.number());
+  private void ended(Worker worker, WorkerReport.Completion ended) {
+    worker.lastSeenCompletion = ended.number();
+    worker.suppressedCompletions.listed();
+    worker.deferredAcknowledgements.listed(ended.number());
     RunKey key = new RunKey(ended.task(), ended.run());
-    worker.removeStray(key);
+    worker.removeOrphan(key);
     worker.stopsSent.remove(key);
     Task task = term.find(ended.task());
     if (task == null) {
       return;
     }
-    boolean inForce = task.runsAs(worker.life(), ended.run());
-    boolean lateButDone = ended.how() == WorkerReport.End.DONE && task.phase == Task.Phase.WAITING;
+    boolean inForce = task.runsAs(worker.incarnation(), ended.run());
+    boolean lateButDone =
+        ended.status() == WorkerReport.CompletionStatus.DONE && task.phase == Task.Phase.WAITING;
     if (!inForce && !lateButDone) {
       doneBefore(worker, task, ended);
       return;
     }
-    if (ended.how() == WorkerReport.End.DONE && task.wholeAtFullPace()) {
+    if (ended.status() == WorkerReport.CompletionStatus.DONE && task.wholeAtFullPace()) {
       estimates.learn(task.job.spec.queue(), task.spec, term.now.mono() - task.placedMillis);
     }
     noteEnd(worker, task, ended);
     if (inForce && task.spec.is(StepSpec.Trait.FILLS)) {
-      worker.echoes.add(new Worker.Echo(task.spec.image(), task.load, term.now.mono()));
+      worker.residualLoads.add(
+          new Worker.ResidualLoad(task.spec.image(), task.load, term.now.mono()));
     }
     task.found();
-    if (ended.how() == WorkerReport.End.DONE) {
+    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
       hold(worker, task, ended);
     }
     if (inForce) {
       task.barred();
     }
     term.release(task);
-    if (ended.how() == WorkerReport.End.DONE) {
+    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
       // Its worker lived on, so the crashes before had another cause. A failure says nothing: some
       // workers fail all they are given.
       task.forgetCrashes();
     } else {
       CrashBlame.endedUndone(List.of(task)).forEach(lifecycle::giveUp);
-      term.noteBound(task);
+      term.logPinned(task);
     }
-    if (ended.how() == WorkerReport.End.FAILED) {
+    if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
       worker.failed(task.job.spec.id(), term.now.mono());
-      task.failedOn.add(worker.life());
+      task.failedOn.add(worker.incarnation());
     }
     task.checkpoint = ended.checkpoint().isEmpty() ? task.checkpoint : ended.checkpoint();
     if (task.spec.is(StepSpec.Trait.LASTS)
@@ -243,12 +255,12 @@
         || task.job.phase.terminal()) {
       return;
     }
-    if (ended.how() == WorkerReport.End.DONE) {
+    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
       worker.succeeded();
       task.phase = Task.Phase.DONE;
-      term.hungry.add(task.job);
+      term.jobsToPlace.add(task.job);
       lifecycle.settle(task.job);
-    } else if (ended.how() == WorkerReport.End.FAILED) {
+    } else if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
       lifecycle.failed(task);
     }
   }
@@ -257,40 +269,42 @@
    * Takes in an end of a run that is not in force. One that is done makes the run in force,
    * wherever it is, a run beside: it is stopped, and the end is final only when that run is over.
    */
-  private void doneBefore(Worker worker, Task task, WorkerReport.Ended ended) {
-    boolean counts = ended.how() == WorkerReport.End.DONE && !task.spec.is(StepSpec.Trait.LASTS);
+  private void doneBefore(Worker worker, Task task, WorkerReport.Completion ended) {
+    boolean counts =
+        ended.status() == WorkerReport.CompletionStatus.DONE && !task.spec.is(StepSpec.Trait.LASTS);
     if (!counts || task.phase != Task.Phase.PLACED) {
       return;
     }
     noteEnd(worker, task, ended);
     task.forgetCrashes();
-    task.doneBefore(new Task.EarlierEnd(worker.life(), ended.number()));
-    worker.heldEnds.hold(ended.number(), term.now.mono(), HeldEnds.UNKNOWN_MILLIS);
+    task.doneBefore(new Task.EarlierCompletion(worker.incarnation(), ended.number()));
+    worker.deferredAcknowledgements.hold(
+        ended.number(), term.now.mono(), DeferredAcknowledgements.UNKNOWN_MILLIS);
     orders.withdraw(task);
   }
 
-  private void hold(Worker worker, Task task, WorkerReport.Ended ended) {
+  private void hold(Worker worker, Task task, WorkerReport.Completion ended) {
     long now = term.now.mono();
-    task.boundMillis(now)
+    task.pinnedForMillis(now)
         .ifPresent(
             millis -> {
-              worker.heldEnds.hold(ended.number(), now, millis);
-              term.note("end.held", new RunKey(ended.task(), ended.run()), "millis=" + millis);
+              worker.deferredAcknowledgements.hold(ended.number(), now, millis);
+              term.logEvent("end.held", new RunKey(ended.task(), ended.run()), "millis=" + millis);
             });
   }
 
   /** Says how long a run took, and why: a run that is only confirmed now may have begun before. */
-  private void noteEnd(Worker worker, Task task, WorkerReport.Ended ended) {
+  private void noteEnd(Worker worker, Task task, WorkerReport.Completion ended) {
     long ran = term.now.mono() - task.placedMillis;
     String detail =
         "%s %s ran=%d slowed=%d expected=%d"
             .formatted(
                 worker.info.id(),
-                ended.how(),
+                ended.status(),
                 task.run == ended.run() && task.placedMillis > 0 ? ran : 0,
                 Math.round(task.slowedMillis(term.now.mono())),
                 estimates.millis(task.job.spec.queue(), task.spec));
-    term.note("run.ended", new RunKey(ended.task(), ended.run()), detail);
+    term.logEvent("run.ended", new RunKey(ended.task(), ended.run()), detail);
   }
 
   /** Releases tasks whose runs the worker, asked after it had confirmed them, does not have. */
@@ -300,7 +314,7 @@
         .forEach(
             task -> {
               task.notListed(sentMillis);
-              term.noteIgnored(task);
+              term.recordIgnoredStart(task);
             });
     worker.placed.values().stream()
         .filter(task -> task.order == Task.Order.CONFIRMED)
@@ -308,15 +322,15 @@
         .toList()
         .forEach(
             task -> {
-              boolean maybeDone = worker.hiddenEnds.vanished(task);
+              boolean maybeDone = worker.suppressedCompletions.vanished(task);
               String detail = worker.info.id() + " " + worker.answers();
-              term.note("run.missing", task.key(), detail + (maybeDone ? " maybeDone" : ""));
+              term.logEvent("run.missing", task.key(), detail + (maybeDone ? " maybeDone" : ""));
               term.release(task);
-              term.noteBound(task);
+              term.logPinned(task);
             });
-    worker.strays.keySet().stream()
+    worker.orphans.keySet().stream()
         .filter(run -> !listed.contains(run))
         .toList()
-        .forEach(worker::removeStray);
+        .forEach(worker::removeOrphan);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Placement.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
@@ -15,7 +15,7 @@
  * which keeps room everywhere for the next wide step. Tasks that fill go where they are predicted
  * to strain least.
  */
-final class Placement {
+final class WorkerSelector {
 
   /**
    * Predicted strain up to which a task that fills may join; 1 is all the headroom that there will
@@ -51,7 +51,7 @@
   private final Interference interference;
   private final Set<String> roomyPools = new HashSet<>();
 
-  Placement(Interference interference) {
+  WorkerSelector(Interference interference) {
     this.interference = interference;
   }
 
@@ -115,7 +115,7 @@
     StepSpec spec = task.spec;
     return worker.info.pool().equals(queue.pool())
         && worker.free().holds(spec.reserved())
-        && task.mayStartOn(worker.life(), nowMillis)
+        && task.mayStartOn(worker.incarnation(), nowMillis)
         && worker.admits(spec, nowMillis)
         && spec.requiredLabel().stream().allMatch(worker.info.labels()::contains)
         && (spec.maxPerWorker() == 0 || worker.tasksOf(task.name.step()) < spec.maxPerWorker())
@@ -124,9 +124,9 @@
 
   private Optional<Candidate> candidate(Task task, JobQueue queue, Worker worker, long nowMillis) {
     boolean near = task.spec.rack().stream().allMatch(worker.info.labels()::contains);
-    boolean fresh = !task.failedOn.contains(worker.life());
+    boolean fresh = !task.failedOn.contains(worker.incarnation());
     if (task.spec.is(StepSpec.Trait.FILLS)) {
-      return filling(task, queue, worker.crowding(interference, nowMillis), worker, near, fresh);
+      return filling(task, queue, worker.contention(interference, nowMillis), worker, near, fresh);
     }
     if (task.spec.serves()) {
       long room = -worker.free().cpuMillis();
@@ -142,7 +142,12 @@
    * joins: it would start at full pace.
    */
   private Optional<Candidate> filling(
-      Task task, JobQueue queue, Crowding crowding, Worker worker, boolean near, boolean fresh) {
+      Task task,
+      JobQueue queue,
+      ContentionSnapshot crowding,
+      Worker worker,
+      boolean near,
+      boolean fresh) {
     if (crowding.alarmed() || crowding.leftover() < LEAST_LEFTOVER * task.spec.need().cpuMillis()) {
       return Optional.empty();
     }
@@ -157,7 +162,7 @@
   }
 
   private static boolean keeps(Worker worker) {
-    return worker.hiddenEnds.none();
+    return worker.suppressedCompletions.none();
   }
 
   /** Returns 2 beside its like only, 1 where nothing serves, and 0 beside other images. */
--- a/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
@@ -16,15 +16,15 @@
   private static final JobId ID = new JobId("a");
 
   /** Submits a job whose start stays on its way. */
-  private static JobLab withStartOnItsWay() {
-    JobLab lab = lab(new LabWorker("w1", 8));
+  private static JobSimulation withStartOnItsWay() {
+    JobSimulation lab = lab(new SimulatedWorker("w1", 8));
     lab.delay = effect -> effect instanceof JobEffect.StartRun ? 60_000 : 0;
     lab.submit(job(ID.value(), step(1, 2, List.of())));
     lab.run(300);
     return lab;
   }
 
-  private static List<JobEffect.StartRun> starts(JobLab lab) {
+  private static List<JobEffect.StartRun> starts(JobSimulation lab) {
     return lab.seen.stream()
         .filter(JobEffect.StartRun.class::isInstance)
         .map(JobEffect.StartRun.class::cast)
@@ -37,7 +37,7 @@
     /** Guards against a start that leaves after its job was cancelled. */
     @Test
     public void nothingOfCancelledJobsLeaves() {
-      JobLab lab = withStartOnItsWay();
+      JobSimulation lab = withStartOnItsWay();
       JobEffect.StartRun start = starts(lab).get(0);
       assertTrue(lab.maySend(start));
       lab.post(new JobEvent.JobCancelled(ID));
@@ -47,9 +47,9 @@
     /** Guards against a start that leaves after its task was placed elsewhere. */
     @Test
     public void nothingLeavesThatIsNoLongerPlacedThere() {
-      JobLab lab = withStartOnItsWay();
+      JobSimulation lab = withStartOnItsWay();
       JobEffect.StartRun start = starts(lab).get(0);
-      WorkerLife worker = start.target().life();
+      WorkerIncarnation worker = start.target().incarnation();
       lab.post(new JobEvent.StartEnded(worker, start.run(), StartResult.UNHEALTHY));
       assertFalse(lab.maySend(start));
     }
@@ -62,22 +62,22 @@
     private static final long LONG_LEASE_MILLIS = 5_000;
 
     /** Returns a lab in which looks have given a worker a lease that lasts. */
-    private static JobLab withLease(LabWorker worker) {
-      JobLab lab = lab(worker);
+    private static JobSimulation withLease(SimulatedWorker worker) {
+      JobSimulation lab = lab(worker);
       lab.workMillis = 60_000;
       lab.submit(job("before", step(1, 2, List.of())));
       lab.run(2_000);
       return lab;
     }
 
-    private static JobEffect.StartRun lastStart(JobLab lab) {
+    private static JobEffect.StartRun lastStart(JobSimulation lab) {
       return starts(lab).get(starts(lab).size() - 1);
     }
 
     /** Guards against a start that is carried out when its job may long be cancelled. */
     @Test
     public void beginsNothingAfterTheBound() {
-      JobLab lab = withLease(new LabWorker("w1", 8));
+      JobSimulation lab = withLease(new SimulatedWorker("w1", 8));
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? BOUND_MILLIS + 100 : 0;
       lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
       lab.submit(job(ID.value(), step(1, 2, List.of())));
@@ -92,7 +92,7 @@
     /** Guards against runs that end with a short bound since they hold no other lease. */
     @Test
     public void bringsLeasesToIdleWorkers() {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
       lab.submit(job(ID.value(), step(1, 2, List.of())));
       lab.run(100);
@@ -102,8 +102,8 @@
     /** Guards against trust in a lease that a look brings which no answer has confirmed. */
     @Test
     public void bringsLeasesWhereLooksAreUnanswered() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       lab.run(3_000);
       final long asked = lab.now;
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
@@ -111,8 +111,9 @@
         lab.run(10);
       }
       WorkerReport overtaken =
-          new WorkerReport(worker.info.life().bornMillis(), asked, List.of(), List.of());
-      lab.post(new JobEvent.WorkerReported(worker.info.life(), asked, overtaken));
+          new WorkerReport(
+              worker.info.incarnation().startTimeMillis(), asked, List.of(), List.of());
+      lab.post(new JobEvent.WorkerReported(worker.info.incarnation(), asked, overtaken));
       lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
       lab.submit(job(ID.value(), step(1, 2, List.of())));
       lab.run(100);
--- a/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
@@ -19,7 +19,7 @@
     Job job = new Job(spec, 0);
     job.advance(0);
     Task task = job.tasks().findFirst().orElseThrow();
-    task.place(WorkerLife.only(new WorkerId("w")), 1_000);
+    task.place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 1_000);
     task.order = Task.Order.CONFIRMED;
     task.crashes = crashes;
     return task;
@@ -110,12 +110,12 @@
 
     private static Worker worker(Task... tasks) {
       Worker worker = TestWorker.with(tasks);
-      worker.heard = true;
+      worker.everAnswered = true;
       return worker;
     }
 
     private static boolean hasPlace(Task task, Worker worker) {
-      Placement placement = new Placement(new LearnedInterference());
+      WorkerSelector placement = new WorkerSelector(new LearnedInterference());
       return placement.choose(task, QUEUE, List.of(worker), 0).isPresent();
     }
 
--- a/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
@@ -24,33 +24,33 @@
 
   private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
 
-  private static JobLab fleet(int workers, int cores) {
+  private static JobSimulation fleet(int workers, int cores) {
     return lab(
         IntStream.range(0, workers)
-            .mapToObj(i -> new LabWorker("w" + i, cores))
-            .toArray(LabWorker[]::new));
+            .mapToObj(i -> new SimulatedWorker("w" + i, cores))
+            .toArray(SimulatedWorker[]::new));
   }
 
   /** Submits a job whose first task ends its worker's life after a while. */
-  private static void submitFatal(JobLab lab, int tasks, long livesMillis) {
+  private static void submitFatal(JobSimulation lab, int tasks, long livesMillis) {
     lab.fatal.put(FATAL, livesMillis);
     lab.submit(job("bad", step(tasks, 2, List.of())));
   }
 
-  private static void assertGivenUp(JobLab lab) {
+  private static void assertGivenUp(JobSimulation lab) {
     assertTrue(lab.startsOf(FATAL) <= MOST_STARTS, "starts: " + lab.startsOf(FATAL));
     assertEquals(lab.phase(FATAL.job()), JobPhase.FAILED);
   }
 
   /** Lets time pass until the fatal task was started so often, 20 s at most. */
-  private static void untilStarts(JobLab lab, long starts) {
+  private static void untilStarts(JobSimulation lab, long starts) {
     for (int i = 0; i < 2_000 && lab.startsOf(FATAL) < starts; i++) {
       lab.run(10);
     }
   }
 
   /** Lets time pass while jobs of four tasks come every 300 ms; returns them. */
-  private static List<JobSpec> others(JobLab lab, int count) {
+  private static List<JobSpec> others(JobSimulation lab, int count) {
     return IntStream.range(0, count)
         .mapToObj(
             i -> {
@@ -62,7 +62,7 @@
         .toList();
   }
 
-  private static void assertComplete(JobLab lab, Stream<JobSpec> jobs) {
+  private static void assertComplete(JobSimulation lab, Stream<JobSpec> jobs) {
     jobs.forEach(job -> assertEquals(lab.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
   }
 
@@ -72,7 +72,7 @@
     /** Guards against a task that crashes one worker after the other without end. */
     @Test
     public void givesUpTasksThatCrashTheirWorkers() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 3, 10);
       final List<JobSpec> others = others(lab, 100);
       lab.run(20_000);
@@ -83,7 +83,7 @@
     /** Guards against blaming the last task to start where the cause had run for a while. */
     @Test
     public void givesUpTasksThatCrashTheirWorkersLater() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 3, 250);
       final List<JobSpec> others = others(lab, 100);
       lab.run(20_000);
@@ -94,7 +94,7 @@
     /** Guards against crashes that go uncounted while the list still holds the dead worker. */
     @Test
     public void countsCrashesOfWorkersThatAreStillListed() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       lab.listsTheDead = true;
       submitFatal(lab, 3, 10);
       lab.run(40_000);
@@ -104,7 +104,7 @@
     /** Guards against a failed run that begins the count of crashes anew. */
     @Test
     public void countsOnAfterRunThatItsWorkerFailed() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 1, 10);
       untilStarts(lab, 2);
       lab.run(100);
@@ -121,7 +121,7 @@
     /** Guards against starts without end where runs are stopped after three crashes. */
     @Test
     public void startsNoSixthTimeHoweverRunsEnd() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 1, 250);
       untilStarts(lab, 3);
       for (int starts = 4; starts < 9; starts++) {
@@ -138,7 +138,7 @@
     /** Guards against a count of crashes that each leader begins anew. */
     @Test
     public void countsOverTakeovers() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 1, 10);
       for (int i = 0; i < 8; i++) {
         lab.run(7_500);
@@ -157,7 +157,7 @@
     /** Guards against crashes that no leader saw, since it died with the worker. */
     @Test
     public void countsCrashesBeforeTheTerm() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       submitFatal(lab, 1, 10);
       for (int i = 0; i < 8; i++) {
         untilStarts(lab, lab.startsOf(FATAL) + 1);
@@ -178,7 +178,7 @@
     /** Guards against giving up jobs whose workers crash for reasons of their own. */
     @Test
     public void nothingIsGivenUpWhereWorkersCrashByThemselves() {
-      JobLab lab = fleet(12, 16);
+      JobSimulation lab = fleet(12, 16);
       JobSpec lasting = job("lasting", step(12, 4, List.of(), StepSpec.Trait.LASTS));
       lab.submit(lasting);
       Random random = new Random(7);
@@ -189,7 +189,7 @@
                     JobSpec other = job("other" + i, step(6, 2, List.of()));
                     lab.submit(other);
                     lab.run(1_000);
-                    List<LabWorker> alive =
+                    List<SimulatedWorker> alive =
                         lab.workers.values().stream().filter(worker -> !worker.dead).toList();
                     lab.crash(alive.get(random.nextInt(alive.size())));
                     return other;
@@ -203,7 +203,7 @@
     /** Guards against taking what has just started on a lost rack for the cause. */
     @Test
     public void nothingIsGivenUpWhereRacksAreLost() {
-      JobLab lab = fleet(6, 16);
+      JobSimulation lab = fleet(6, 16);
       lab.workMillis = 3_000;
       List<JobSpec> others =
           IntStream.range(0, 8).mapToObj(i -> job("other" + i, step(4, 2, List.of()))).toList();
@@ -224,7 +224,7 @@
     /** A lasting task beside one that crashes workers runs on, wherever both meet. */
     @Test
     public void lastingTasksRunOnBesideFatalOnes() {
-      JobLab lab = fleet(2, 16);
+      JobSimulation lab = fleet(2, 16);
       lab.workMillis = 200_000;
       JobSpec lasting = job("lasting", step(2, 6, List.of(), StepSpec.Trait.LASTS));
       lab.submit(lasting);
@@ -253,9 +253,9 @@
       return TaskName.parse("bad%d.0.0.%d".formatted(job, job));
     }
 
-    private static void disturb(JobLab lab, Random random) {
+    private static void disturb(JobSimulation lab, Random random) {
       if (random.nextInt(3) == 0) {
-        List<LabWorker> alive =
+        List<SimulatedWorker> alive =
             lab.workers.values().stream().filter(worker -> !worker.dead).toList();
         lab.crash(alive.get(random.nextInt(alive.size())));
       }
@@ -270,7 +270,7 @@
     @Test(dataProvider = "seeds")
     public void onlyFatalTasksAreGivenUp(int seed) {
       Random random = new Random(seed);
-      JobLab lab = fleet(12, 16);
+      JobSimulation lab = fleet(12, 16);
       List<JobSpec> bad =
           IntStream.range(0, LIVES.size())
               .mapToObj(i -> job("bad" + i, step(4, 2, List.of())))
--- a/core/src/test/java/org/cottontack/core/job/HeldEndsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
@@ -19,18 +19,18 @@
 /**
  * Tests of held ends and starts in doubt when their leader is lost, or the entry of their worker.
  */
-public class HeldEndsTest {
+public class DeferredAcknowledgementsTest {
 
   private static final long DELAY_MILLIS = 10_000;
   private static final long WORK_MILLIS = 20_000;
 
-  private static void changeLeader(JobLab lab, long withoutMillis) {
+  private static void changeLeader(JobSimulation lab, long withoutMillis) {
     lab.leaderDies();
     lab.run(withoutMillis);
     lab.takeOver();
   }
 
-  private static void assertCompleteAfterCopy(JobLab lab, JobSpec job, long arrivesMillis) {
+  private static void assertCompleteAfterCopy(JobSimulation lab, JobSpec job, long arrivesMillis) {
     backJustBefore(lab, arrivesMillis);
     lab.run(60_000);
     assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
@@ -42,7 +42,7 @@
     /** Guards against a leader that forgets what its predecessor had from an earlier one. */
     @Test
     public void staysHeldOverSecondTakeover() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
@@ -56,7 +56,7 @@
     /** Guards against a next leader that is told of held ends before it knows their worker. */
     @Test
     public void staysHeldWhereWorkerIsListedLate() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
@@ -73,7 +73,7 @@
     /** Guards against a leader that stores what it has learned and leaves out what it inherited. */
     @Test
     public void staysHeldOverLeaderThatHearsNoWorker() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
@@ -94,7 +94,7 @@
     /** Guards against workers whose ends wait for what was held, and acknowledged, before. */
     @Test
     public void holdsNothingWhereAllIsAcknowledged() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.submit(JobFixtures.job("before", step(3, 2, List.of())));
       lab.run(2_000);
       assertEquals(acknowledged(lab), 3);
@@ -107,17 +107,17 @@
       assertEquals(acknowledged(lab), 9);
     }
 
-    private static long acknowledged(JobLab lab) {
-      return lab.workers.values().stream().mapToLong(LabWorker::acknowledgedEnds).sum();
+    private static long acknowledged(JobSimulation lab) {
+      return lab.workers.values().stream().mapToLong(SimulatedWorker::acknowledgedEnds).sum();
     }
 
     /** Guards against ends held back that come before the held ones, or for ever. */
     @Test
     public void holdsFromFirstHeldOnUntilItExpires() {
-      HeldLives lives = new HeldLives();
-      WorkerLife life = new WorkerLife(FIRST, 7);
+      UnlistedDeferrals lives = new UnlistedDeferrals();
+      WorkerIncarnation life = new WorkerIncarnation(FIRST, 7);
       lives.inherit(Map.of(life, 3L), LateStart.LATEST_MILLIS);
-      HeldEnds held = lives.take(life);
+      DeferredAcknowledgements held = lives.take(life);
       held.listed(1);
       held.listed(2);
       assertEquals(held.acknowledgeable(2, 0), 2);
@@ -130,12 +130,12 @@
     /** Guards against held ends that are forgotten with a worker that is not listed for a while. */
     @Test
     public void staysHeldWhileWorkerIsNotListed() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
-      final LabWorker first = lab.workers.get(FIRST);
-      lab.post(new JobEvent.WorkerUnlisted(first.info.life()));
+      final SimulatedWorker first = lab.workers.get(FIRST);
+      lab.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
       lab.run(1_000);
       lab.post(new JobEvent.WorkerSeen(first.info));
       assertCompleteAfterCopy(lab, job, arrives);
@@ -146,10 +146,10 @@
   public static class Earlier {
 
     /** Returns the worker whose run was done unseen and is listed beside a later run. */
-    private static LabWorker doneElsewhere(JobLab lab, JobSpec job) {
+    private static SimulatedWorker doneElsewhere(JobSimulation lab, JobSpec job) {
       lab.submit(job);
       lab.run(200);
-      LabWorker first =
+      SimulatedWorker first =
           lab.workers.values().stream().filter(w -> w.count() > 0).findFirst().orElseThrow();
       first.reachable = false;
       lab.workMillis = WORK_MILLIS + 10_000;
@@ -163,10 +163,10 @@
     /** Guards against an end that is held for ever since its worker was not listed for a while. */
     @Test
     public void acknowledgesEndOfWorkerThatWasNotListed() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final JobSpec job = JobFixtures.job("earlier", step(1, 2, List.of()));
-      LabWorker first = doneElsewhere(lab, job);
-      lab.post(new JobEvent.WorkerUnlisted(first.info.life()));
+      SimulatedWorker first = doneElsewhere(lab, job);
+      lab.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
       lab.run(500);
       lab.lost = effect -> false;
       lab.run(2_000);
@@ -180,8 +180,8 @@
     /** Guards against stored lines of lives that are gone. */
     @Test
     public void storesNothingOfLifeThatIsGone() {
-      JobLab lab = fleet();
-      LabWorker first = doneElsewhere(lab, JobFixtures.job("earlier", step(1, 2, List.of())));
+      JobSimulation lab = fleet();
+      SimulatedWorker first = doneElsewhere(lab, JobFixtures.job("earlier", step(1, 2, List.of())));
       lab.crash(first);
       lab.run(2_500);
       lab.lost = effect -> false;
@@ -213,12 +213,12 @@
     /** Guards against an end acknowledged by the next leader while a copy of its start may come. */
     @Test(dataProvider = "work")
     public void runsNothingDoneWhereStartWasRepeated(long work) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = work;
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_100);
-      assertEquals(lab.workers.values().stream().mapToInt(LabWorker::count).sum(), 3);
+      assertEquals(lab.workers.values().stream().mapToInt(SimulatedWorker::count).sum(), 3);
       changeLeader(lab, 2_500);
       assertCompleteAfterCopy(lab, job, arrives);
     }
@@ -234,7 +234,7 @@
     /** Guards against a moment in which neither the start in doubt is stored nor the held end. */
     @Test(dataProvider = "lostAfter")
     public void runsNothingDoneWheneverLeaderIsLost(long millis) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(millis);
@@ -245,7 +245,7 @@
     /** Guards against an end acknowledged while the start of the run before may come. */
     @Test(dataProvider = "work")
     public void runsNothingDoneWhereEarlierStartIsInDoubt(long work) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = work;
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
@@ -260,7 +260,7 @@
     /** Guards against a copy that leaves unknown to the next leader. */
     @Test
     public void storesThatStartIsRepeatedBeforeItLeaves() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(750);
       lab.storeAway = true;
@@ -274,26 +274,26 @@
     /** Guards against a run that may have begun and is forgotten while a repeat is stored. */
     @Test
     public void stopsWhatMayHaveBegunWhereItsWorkerLeavesMeanwhile() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(750);
       lab.storeAway = true;
       lab.run(500);
-      lab.workers.values().forEach(worker -> lab.post(JobLab.draining(worker)));
+      lab.workers.values().forEach(worker -> lab.post(JobSimulation.draining(worker)));
       lab.storeBack();
       lab.run(200);
       assertEquals(count(lab, JobEffect.StartRun.class), 3);
       assertEquals(count(lab, JobEffect.StopRun.class), 3);
     }
 
-    private static long count(JobLab lab, Class<? extends JobEffect> kind) {
+    private static long count(JobSimulation lab, Class<? extends JobEffect> kind) {
       return lab.seen.stream().filter(kind::isInstance).count();
     }
 
     /** Guards against a found run that, lost, starts elsewhere beside a copy of its start. */
     @Test
     public void runsNoTaskTwiceWhereFoundRunIsLost() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = WORK_MILLIS;
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
@@ -303,7 +303,7 @@
       lab.listsTheDead = false;
       crash(lab);
       lab.run(RESTART_MILLIS);
-      lab.post(JobLab.draining(lab.workers.get(FIRST)));
+      lab.post(JobSimulation.draining(lab.workers.get(FIRST)));
       lab.run(1_000);
       lab.listsTheDead = true;
       assertCompleteAfterCopy(lab, job, arrives);
--- a/core/src/test/java/org/cottontack/core/job/EstimatesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of declared durations and their correction. */
-public class EstimatesTest {
+public class DurationEstimatesTest {
 
   private static final JobQueue QUEUE =
       new JobQueue("queue", "host", "/jobs/", "pool", 2, 3, 2.0, 1_000, false);
@@ -22,8 +22,8 @@
     return TestStep.tasks(1).estimate(estimateMillis).of();
   }
 
-  private static Estimates taught(double spread) {
-    Estimates estimates = new Estimates();
+  private static DurationEstimates taught(double spread) {
+    DurationEstimates estimates = new DurationEstimates();
     Random random = new Random(7);
     IntStream.range(0, 400)
         .forEach(
@@ -41,7 +41,7 @@
 
     @Test
     public void trustsDeclaredTimesAtFirst() {
-      assertEquals(new Estimates().millis(QUEUE, step(700)), 700);
+      assertEquals(new DurationEstimates().millis(QUEUE, step(700)), 700);
     }
 
     /** Spread of declared times, a declared time, and the range that the true one lies in. */
@@ -73,7 +73,7 @@
     @Test
     public void survivesTakeover() {
       LearnedText old = new LearnedText(new LearnedInterference(), taught(0.9));
-      Estimates estimates = new Estimates();
+      DurationEstimates estimates = new DurationEstimates();
       new LearnedText(new LearnedInterference(), estimates)
           .restore(
               old.write(Set.of(), Set.of(), Map.of()).text(),
--- a/core/src/test/java/org/cottontack/core/job/EarlierEndTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EarlierCompletionTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of runs that turn out to be done while a later run of their task has its place. */
-public class EarlierEndTest {
+public class EarlierCompletionTest {
 
   private static final WorkerId FIRST = new WorkerId("w0");
 
@@ -21,14 +21,14 @@
   /** Time until a worker out of touch has lost its leases, in milliseconds. */
   private static final long LAPSE_MILLIS = 11_000;
 
-  private static JobLab fleet(int workers) {
-    JobLab lab = returningFleet(workers);
+  private static JobSimulation fleet(int workers) {
+    JobSimulation lab = returningFleet(workers);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
   }
 
-  private static JobSpec submit(JobLab lab) {
+  private static JobSpec submit(JobSimulation lab) {
     JobSpec job = job("earlier", step(1, 2, List.of()));
     lab.submit(job);
     lab.run(100);
@@ -44,7 +44,7 @@
     private static final long BACK_BEFORE_MILLIS = 20;
 
     /** Has the second run begin on the next life, and that one crash just before the first copy. */
-    private static JobSpec crashTwice(JobLab lab) {
+    private static JobSpec crashTwice(JobSimulation lab) {
       final long arrives = lab.now + DELAY_MILLIS;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? DELAY_MILLIS : 0;
       final JobSpec job = submit(lab);
@@ -59,7 +59,7 @@
     }
 
     /** Lets the copy be done before anybody asks. */
-    private static void copyIsDone(JobLab lab) {
+    private static void copyIsDone(JobSimulation lab) {
       lab.run(RESTART_MILLIS + 300);
       assertEquals(lab.workers.get(FIRST).count(), 0);
       lab.workMillis = 500;
@@ -68,7 +68,7 @@
     /** Guards against a task that its leader starts again after an earlier run's listed end. */
     @Test
     public void startsNothingAgainThatCopyHasDone() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final JobSpec job = crashTwice(lab);
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? DELAY_MILLIS : 0;
       copyIsDone(lab);
@@ -81,7 +81,7 @@
     /** Guards against a next leader that starts a task again after an earlier run's end. */
     @Test
     public void startsNothingAgainAfterTakeover() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final JobSpec job = crashTwice(lab);
       lab.leaderDies();
       copyIsDone(lab);
@@ -95,14 +95,14 @@
   /** The later run is on another worker. */
   public static class OtherWorker {
 
-    private static LabWorker only(JobLab lab) {
+    private static SimulatedWorker only(JobSimulation lab) {
       return lab.workers.values().stream().filter(w -> w.count() > 0).findFirst().orElseThrow();
     }
 
     /** Has a task done by a worker that is cut off, and placed on the other one. */
-    private static LabWorker doneOutOfTouch(JobLab lab) {
+    private static SimulatedWorker doneOutOfTouch(JobSimulation lab) {
       lab.run(100);
-      LabWorker first = only(lab);
+      SimulatedWorker first = only(lab);
       first.reachable = false;
       lab.workMillis = LONG_MILLIS;
       lab.run(LAPSE_MILLIS);
@@ -113,9 +113,9 @@
     /** Guards against an end that is made final while the task runs elsewhere. */
     @Test
     public void acknowledgesNoEndBesideRun() {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       final JobSpec job = submit(lab);
-      final LabWorker first = doneOutOfTouch(lab);
+      final SimulatedWorker first = doneOutOfTouch(lab);
       assertEquals(lab.starts(), 2);
       lab.lost = JobEffect.StopRun.class::isInstance;
       first.reachable = true;
@@ -132,11 +132,11 @@
     /** Guards against a failure of the later run that counts though the task is done. */
     @Test
     public void takesNoFailureOfWhatIsDone() {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       JobQueue once = new JobQueue("queue", "host", "/jobs/", "pool", 0, 1, 1.5, 250, false);
       lab.table(new JobTable(2, List.of(once), List.of()));
       final JobSpec job = submit(lab);
-      final LabWorker first = doneOutOfTouch(lab);
+      final SimulatedWorker first = doneOutOfTouch(lab);
       lab.lost = JobEffect.StopRun.class::isInstance;
       first.reachable = true;
       lab.run(1_000);
@@ -149,14 +149,14 @@
     /** Guards against a later run that begins although the task turned out to be done before. */
     @Test
     public void startsNoRunWhosePlaceIsNotStored() {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       final JobSpec job = submit(lab);
       lab.run(100);
-      final LabWorker first = only(lab);
+      final SimulatedWorker first = only(lab);
       first.reachable = false;
       lab.run(7_000);
       lab.storeAway = true;
-      while (lab.seen.stream().filter(EarlierEndTest::places).count() < 2) {
+      while (lab.seen.stream().filter(EarlierCompletionTest::places).count() < 2) {
         lab.run(10);
       }
       first.reachable = true;
--- a/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
@@ -17,15 +17,15 @@
 /** Tests of decisions while an operator empties data centres. */
 public class EvacuationTest {
 
-  private static LabWorker in(String dataCentre, String id) {
-    return new LabWorker(id, 8, id + ":1", dataCentre);
+  private static SimulatedWorker in(String dataCentre, String id) {
+    return new SimulatedWorker(id, 8, id + ":1", dataCentre);
   }
 
   private static boolean isStart(JobEffect effect) {
     return effect instanceof JobEffect.StartRun;
   }
 
-  private static long notes(JobLab lab, String name) {
+  private static long notes(JobSimulation lab, String name) {
     return lab.seen.stream()
         .filter(JobEffect.Note.class::isInstance)
         .map(JobEffect.Note.class::cast)
@@ -39,9 +39,9 @@
     /** Guards against first starts in a data centre that is being emptied. */
     @Test
     public void placesNothingThere() {
-      LabWorker there = in("a", "w1");
-      LabWorker elsewhere = in("b", "w2");
-      JobLab lab = lab(there, elsewhere);
+      SimulatedWorker there = in("a", "w1");
+      SimulatedWorker elsewhere = in("b", "w2");
+      JobSimulation lab = lab(there, elsewhere);
       lab.evacuate("a");
       lab.submit(job("j", step(12, 2, List.of())));
       lab.run(400);
@@ -54,8 +54,8 @@
     /** Guards against an order that leaves once its placement is saved, after the request. */
     @Test
     public void sendsNothingThatWaitedForTheStore() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there, in("b", "w2"));
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there, in("b", "w2"));
       lab.storeAway = true;
       lab.submit(job("j", step(8, 2, List.of())));
       lab.run(100);
@@ -69,8 +69,8 @@
     /** Guards against an unanswered order that is sent again after the request. */
     @Test
     public void sendsNothingAgain() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there);
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there);
       lab.workMillis = 60_000;
       lab.lost = EvacuationTest::isStart;
       lab.late = EvacuationTest::isStart;
@@ -90,7 +90,7 @@
     @Test
     public void nextLifeGetsNothing() {
       for (boolean keepsIds : new boolean[] {false, true}) {
-        JobLab lab = lab(in("a", "w1"), in("a", "w2"));
+        JobSimulation lab = lab(in("a", "w1"), in("a", "w2"));
         lab.keepsIds = keepsIds;
         lab.workMillis = 60_000;
         lab.submit(job("j", step(4, 2, List.of())));
@@ -109,8 +109,8 @@
     /** Guards against starts by a leader that takes over during an evacuation. */
     @Test
     public void nextLeaderStartsNothingThere() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there);
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there);
       lab.evacuate("a");
       lab.submit(job("j", step(2, 2, List.of())));
       lab.run(500);
@@ -128,8 +128,8 @@
     /** Guards against a run that fails there and is tried again there. */
     @Test
     public void triesAgainElsewhere() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there);
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there);
       lab.submit(job("j", step(1, 2, List.of())));
       lab.run(300);
       lab.evacuate("a");
@@ -141,8 +141,8 @@
     /** Guards against starts there after other evacuations begin and end. */
     @Test
     public void otherEvacuationsChangeNothing() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there, in("b", "w2"));
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there, in("b", "w2"));
       lab.evacuate("a");
       lab.evacuate("a", "b");
       lab.submit(job("j", step(2, 2, List.of())));
@@ -161,8 +161,8 @@
     /** Guards against users who lose a service that could have gone on. */
     @Test
     public void goesOn() {
-      LabWorker there = in("a", "w1");
-      JobLab lab = lab(there, in("b", "w2"));
+      SimulatedWorker there = in("a", "w1");
+      JobSimulation lab = lab(there, in("b", "w2"));
       lab.workMillis = 60_000;
       lab.submit(job("s", step(4, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.submit(job("j", step(4, 2, List.of())));
@@ -178,16 +178,16 @@
     /** Guards against a lasting task that is stopped for a place which it may not have. */
     @Test
     public void drainingWorkersTasksStayWhereOnlyEvacuatedRoomIsLeft() {
-      LabWorker drains = in("b", "w1");
-      JobLab lab = lab(drains);
+      SimulatedWorker drains = in("b", "w1");
+      JobSimulation lab = lab(drains);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
-      LabWorker there = in("a", "w2");
+      SimulatedWorker there = in("a", "w2");
       lab.workers.put(there.info.id(), there);
       lab.evacuate("a");
       lab.post(new JobEvent.WorkerSeen(there.info));
-      lab.post(JobLab.draining(drains));
+      lab.post(JobSimulation.draining(drains));
       lab.run(3_000);
       assertEquals(drains.count(), 1);
     }
@@ -195,7 +195,7 @@
     /** Guards against operators who cannot tell when a data centre is empty. */
     @Test
     public void isTold() {
-      JobLab lab = lab(in("a", "w1"));
+      JobSimulation lab = lab(in("a", "w1"));
       lab.submit(job("j", step(1, 2, List.of())));
       lab.run(200);
       lab.evacuate("a");
@@ -218,15 +218,15 @@
     /** Guards against services that take the last room of short tasks since empty workers count. */
     @Test
     public void roomThereIsNoneOfThePool() {
-      LabWorker rest = in("b", "w2");
-      JobLab lab = lab(rest);
+      SimulatedWorker rest = in("b", "w2");
+      JobSimulation lab = lab(rest);
       lab.workMillis = 1_000;
       lab.submit(job("short", step(3, 1, List.of())));
       lab.run(1_500);
       lab.workMillis = 60_000;
       lab.submit(service("first", 5, 1));
       lab.run(500);
-      LabWorker there = in("a", "w1");
+      SimulatedWorker there = in("a", "w1");
       lab.workers.put(there.info.id(), there);
       lab.evacuate("a");
       lab.post(new JobEvent.WorkerSeen(there.info));
@@ -252,9 +252,11 @@
     @Test(dataProvider = "seeds")
     public void startsNothingThereAndEndsEveryJob(long seed) {
       Random random = new Random(seed);
-      LabWorker[] workers =
-          IntStream.range(0, 6).mapToObj(i -> in("dc" + i % 3, "w" + i)).toArray(LabWorker[]::new);
-      JobLab lab = lab(workers);
+      SimulatedWorker[] workers =
+          IntStream.range(0, 6)
+              .mapToObj(i -> in("dc" + i % 3, "w" + i))
+              .toArray(SimulatedWorker[]::new);
+      JobSimulation lab = lab(workers);
       lab.keepsIds = random.nextBoolean();
       lab.lost = effect -> random.nextInt(20) == 0;
       for (int round = 0; round < 40; round++) {
@@ -275,14 +277,14 @@
       assertFalse(lab.seen.isEmpty());
     }
 
-    private static void trouble(JobLab lab, Random random) {
+    private static void trouble(JobSimulation lab, Random random) {
       switch (random.nextInt(6)) {
         case 0 -> lab.evacuate("dc" + random.nextInt(3));
         case 1 -> lab.evacuate("dc0", "dc" + (1 + random.nextInt(2)));
         case 2 -> lab.evacuate();
         case 3 -> {
-          List<LabWorker> all = List.copyOf(lab.workers.values());
-          LabWorker any = all.get(random.nextInt(all.size()));
+          List<SimulatedWorker> all = List.copyOf(lab.workers.values());
+          SimulatedWorker any = all.get(random.nextInt(all.size()));
           if (!any.dead) {
             lab.crash(any);
           }
--- a/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
@@ -48,7 +48,7 @@
       Job job = new Job(job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS)), 0);
       job.advance(0);
       Task task = job.tasks().findFirst().orElseThrow();
-      task.place(new WorkerLife(new WorkerId("w0"), 7), SENT_MILLIS - 20);
+      task.place(new WorkerIncarnation(new WorkerId("w0"), 7), SENT_MILLIS - 20);
       task.sent(SENT_MILLIS);
       return task;
     }
@@ -91,7 +91,7 @@
     public void needsStartThatLeft() {
       Task task = sent();
       task.release();
-      task.place(new WorkerLife(new WorkerId("w1"), 7), SENT_MILLIS + 100);
+      task.place(new WorkerIncarnation(new WorkerId("w1"), 7), SENT_MILLIS + 100);
       task.notListed(SENT_MILLIS + 200);
       task.sent(SENT_MILLIS + 300);
       task.unanswered();
@@ -102,7 +102,7 @@
     @Test
     public void changesNothingForBatchTasks() {
       IgnoredStarts ignored = new IgnoredStarts();
-      WorkerLife life = new WorkerLife(new WorkerId("w0"), 7);
+      WorkerIncarnation life = new WorkerIncarnation(new WorkerId("w0"), 7);
       LateStart start = LateStart.sent(life, step(1, 2, List.of()), SENT_MILLIS);
       assertEquals(start.boundUntilMillis(ignored), SENT_MILLIS + LateStart.LATEST_MILLIS);
       ignored.add(SENT_MILLIS);
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -39,7 +39,7 @@
   }
 
   private static double joined(Interference interference, Worker worker, String image) {
-    Crowding crowding = worker.crowding(interference, 10_000);
+    ContentionSnapshot crowding = worker.contention(interference, 10_000);
     return crowding.strainJoined(worker, filling(image), interference);
   }
 
@@ -129,8 +129,8 @@
         report(interference, worker, 1.1, random);
       }
       Interference next = new LearnedInterference();
-      LearnedText old = new LearnedText(interference, new Estimates());
-      new LearnedText(next, new Estimates())
+      LearnedText old = new LearnedText(interference, new DurationEstimates());
+      new LearnedText(next, new DurationEstimates())
           .restore(
               old.write(Set.of(), Set.of(), Map.of()).text(),
               new HashSet<>(),
--- a/core/src/test/java/org/cottontack/core/job/JobFixtures.java
+++ b/core/src/test/java/org/cottontack/core/job/JobFixtures.java
@@ -40,34 +40,34 @@
     return new JobSpec(new JobId(id), QUEUE, "payload", List.of(steps), JobSpec.Schedule.AT_ONCE);
   }
 
-  static JobLab lab(LabWorker... workers) {
-    JobLab lab = new JobLab(workers);
+  static JobSimulation lab(SimulatedWorker... workers) {
+    JobSimulation lab = new JobSimulation(workers);
     lab.table(TABLE);
     lab.run(200);
     return lab;
   }
 
   /** Returns a lab whose workers are soon back under their identifiers after a crash. */
-  static JobLab returningFleet(int workers) {
-    JobLab lab =
+  static JobSimulation returningFleet(int workers) {
+    JobSimulation lab =
         lab(
             IntStream.range(0, workers)
-                .mapToObj(i -> new LabWorker("w" + i, 8))
-                .toArray(LabWorker[]::new));
+                .mapToObj(i -> new SimulatedWorker("w" + i, 8))
+                .toArray(SimulatedWorker[]::new));
     lab.keepsIds = true;
     lab.restartMillis = RESTART_MILLIS;
     return lab;
   }
 
   /** Submits jobs of three tasks each. */
-  static List<JobSpec> submit(JobLab lab, String name, int count) {
+  static List<JobSpec> submit(JobSimulation lab, String name, int count) {
     List<JobSpec> jobs =
         IntStream.range(0, count).mapToObj(i -> job(name + i, step(3, 2, List.of()))).toList();
     jobs.forEach(lab::submit);
     return jobs;
   }
 
-  static void assertComplete(JobLab lab, List<JobSpec> jobs) {
+  static void assertComplete(JobSimulation lab, List<JobSpec> jobs) {
     jobs.forEach(job -> assertEquals(lab.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
   }
 
--- a/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
@@ -20,7 +20,7 @@
 
     @Test
     public void runsStepsInOrderAndCompletes() {
-      JobLab lab = lab(new LabWorker("w1", 8), new LabWorker("w2", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       JobSpec job = job("a", step(4, 2, List.of()), step(2, 2, List.of(0)));
       lab.submit(job);
       lab.run(300);
@@ -33,7 +33,7 @@
 
     @Test
     public void failsAfterTheLastAttempt() {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.fails = true;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
@@ -44,7 +44,7 @@
 
     @Test
     public void restartsWhatLastsHoweverItEnds() {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.fails = true;
       JobSpec job = job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS));
       lab.submit(job);
@@ -55,9 +55,9 @@
 
     @Test
     public void keepsToTheSpreadLimit() {
-      LabWorker first = new LabWorker("w1", 32);
-      LabWorker second = new LabWorker("w2", 32);
-      JobLab lab = lab(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 32);
+      SimulatedWorker second = new SimulatedWorker("w2", 32);
+      JobSimulation lab = lab(first, second);
       lab.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
       lab.run(300);
       assertEquals(first.count(), 2);
@@ -66,7 +66,7 @@
 
     @Test
     public void waitsForRoomRatherThanOverfillOne() {
-      JobLab lab = lab(new LabWorker("w1", 4));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(6, 2, List.of()));
       lab.submit(job);
       lab.run(300);
@@ -85,7 +85,7 @@
      */
     @Test
     public void startsNothingThatIsNotStored() {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.storeAway = true;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(2_000);
@@ -101,8 +101,8 @@
      */
     @Test
     public void acknowledgesNoEndThatIsNotStored() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
       lab.run(200);
@@ -126,7 +126,7 @@
      */
     @Test
     public void startsOnceWhenTheAnswerIsLost() {
-      JobLab lab = lab(new LabWorker("w1", 8), new LabWorker("w2", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
       lab.lost =
           effect -> {
@@ -148,7 +148,7 @@
      */
     @Test
     public void runsOnceWhenAnOrderArrivesLate() {
-      JobLab lab = lab(new LabWorker("w1", 8), new LabWorker("w2", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
       lab.late =
           effect -> {
@@ -169,13 +169,14 @@
      */
     @Test
     public void olderReportsTakeNothingAway() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       lab.workMillis = 60_000;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
-      WorkerReport older = new WorkerReport(WorkerLife.UNSTATED, lab.now, List.of(), List.of());
-      lab.post(new JobEvent.WorkerReported(worker.info.life(), lab.now - 200, older));
+      WorkerReport older =
+          new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, lab.now, List.of(), List.of());
+      lab.post(new JobEvent.WorkerReported(worker.info.incarnation(), lab.now - 200, older));
       lab.run(1_000);
       assertEquals(lab.starts(), 1);
     }
@@ -186,14 +187,14 @@
      */
     @Test
     public void waitsOutTheLeaseOfWorkersOutOfReach() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = lab(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = lab(first, second);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
       lab.run(300);
-      LabWorker holder = first.count() > 0 ? first : second;
+      SimulatedWorker holder = first.count() > 0 ? first : second;
       holder.reachable = false;
       lab.run(LEASE_MILLIS - 1_000);
       assertEquals(lab.starts(), 1);
@@ -207,7 +208,7 @@
      */
     @Test
     public void takesOverWithoutStartingAgain() {
-      JobLab lab = lab(new LabWorker("w1", 8), new LabWorker("w2", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       lab.workMillis = 3_000;
       JobSpec job = job("a", step(4, 2, List.of()));
       lab.submit(job);
@@ -224,8 +225,8 @@
      */
     @Test
     public void startsWhatTheLastLeaderOnlyStored() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.specs.put(job.id(), job);
       lab.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
@@ -242,17 +243,17 @@
      */
     @Test
     public void restartsAtOnceWhenAnotherLifeAnswers() {
-      LabWorker first = new LabWorker("w1", 8);
-      JobLab lab = lab(first);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(first);
       lab.workMillis = 2_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
       lab.run(300);
       first.dead = true;
-      LabWorker second = new LabWorker("w2", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
       lab.workers.put(second.info.id(), second);
       lab.post(new JobEvent.WorkerSeen(second.info));
-      lab.post(new JobEvent.WorkerReborn(first.info.life()));
+      lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
       lab.run(500);
       assertEquals(second.count(), 1);
     }
@@ -263,18 +264,18 @@
      */
     @Test
     public void restartsAtOnceWhenTheAddressIsTakenOver() {
-      LabWorker first = new LabWorker("w1", 8);
-      JobLab lab = lab(first);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(first);
       lab.workMillis = 2_000;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
       first.dead = true;
-      LabWorker second = new LabWorker("w2", 8, first.info.address());
+      SimulatedWorker second = new SimulatedWorker("w2", 8, first.info.address());
       lab.workers.put(second.info.id(), second);
       lab.post(new JobEvent.WorkerSeen(second.info));
       lab.run(500);
       assertEquals(second.count(), 0);
-      lab.post(new JobEvent.WorkerUnlisted(first.info.life()));
+      lab.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
       lab.run(500);
       assertEquals(second.count(), 1);
     }
@@ -285,8 +286,8 @@
 
     @Test
     public void stopsWhatRunsAndStartsNothingMore() {
-      LabWorker worker = new LabWorker("w1", 4);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 4);
+      JobSimulation lab = lab(worker);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(6, 2, List.of()));
       lab.submit(job);
@@ -305,7 +306,7 @@
      */
     @Test
     public void keepsCancellationsThatOvertakeTheirJob() {
-      JobLab lab = lab(new LabWorker("w1", 4));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.post(new JobEvent.JobCancelled(job.id()));
       lab.submit(job);
@@ -320,8 +321,8 @@
      */
     @Test
     public void stopsAgainUntilTheRunIsGone() {
-      LabWorker worker = new LabWorker("w1", 4);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 4);
+      JobSimulation lab = lab(worker);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
--- a/core/src/test/java/org/cottontack/core/job/JobLab.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -20,9 +20,9 @@
 
 /**
  * A leader, a store and workers in virtual time. Orders take 2 ms each way and saves 12 ms, unless
- * a test holds them back. {@link LabPromises} are checked at every step and every start.
+ * a test holds them back. {@link SimulationInvariants} are checked at every step and every start.
  */
-final class JobLab {
+final class JobSimulation {
 
   private static final long SAVE_MILLIS = 12;
   private static final long TICK_MILLIS = 100;
@@ -36,10 +36,10 @@
 
   private record Due(long at, long order, Runnable what) {}
 
-  final Map<WorkerId, LabWorker> workers = new LinkedHashMap<>();
+  final Map<WorkerId, SimulatedWorker> workers = new LinkedHashMap<>();
 
   /** Lives that ended and whose identifier another one has now. */
-  private final List<LabWorker> replaced = new ArrayList<>();
+  private final List<SimulatedWorker> replaced = new ArrayList<>();
 
   final Map<JobId, String> stored = new HashMap<>();
   final Map<JobId, JobSpec> specs = new HashMap<>();
@@ -83,11 +83,11 @@
   private JobTable table = JobTable.EMPTY;
   private Moment renewal;
   Set<DataCentreId> evacuated = Set.of();
-  private final LabPromises promises = new LabPromises(this);
+  private final SimulationInvariants promises = new SimulationInvariants(this);
   private String learned = "";
 
-  JobLab(LabWorker... all) {
-    for (LabWorker worker : all) {
+  JobSimulation(SimulatedWorker... all) {
+    for (SimulatedWorker worker : all) {
       workers.put(worker.info.id(), worker);
     }
     leader = new JobScheduler(JobTiming.STANDARD, table, moment(), now - NONE_BEFORE_MILLIS);
@@ -183,7 +183,7 @@
   }
 
   /** Returns all lives of all workers. */
-  Stream<LabWorker> lives() {
+  Stream<SimulatedWorker> lives() {
     return Stream.concat(workers.values().stream(), replaced.stream());
   }
 
@@ -230,7 +230,7 @@
   }
 
   private void start(JobScheduler from, long token, JobEffect.StartRun order) {
-    LabWorker worker = workers.get(order.target().life().worker());
+    SimulatedWorker worker = workers.get(order.target().incarnation().worker());
     boolean unanswered = lost.test(order) || !worker.reachable || worker.dead;
     long held = delay.applyAsLong(order);
     boolean delayed = late.test(order) || held > 0;
@@ -240,7 +240,7 @@
       after(
           millis,
           () -> {
-            LabWorker there = workers.get(worker.info.id());
+            SimulatedWorker there = workers.get(worker.info.id());
             StartResult result =
                 there.dead ? StartResult.UNKNOWN : there.start(order, token, now, workMillis, need);
             Long survives = fatal.get(order.run().task());
@@ -257,14 +257,14 @@
     }
   }
 
-  private void crashUnder(LabWorker worker, RunKey run) {
+  private void crashUnder(SimulatedWorker worker, RunKey run) {
     if (worker.runs().contains(run)) {
       crash(worker);
     }
   }
 
   /** A worker's life ends with all that runs there; the next one has the same address. */
-  void crash(LabWorker worker) {
+  void crash(SimulatedWorker worker) {
     crashes++;
     worker.dead = true;
     after(
@@ -278,15 +278,15 @@
         });
   }
 
-  private void replace(LabWorker worker, LabWorker next) {
+  private void replace(SimulatedWorker worker, SimulatedWorker next) {
     workers.put(next.info.id(), next);
     post(new JobEvent.WorkerSeen(next.info));
-    WorkerLife dead = worker.info.life();
+    WorkerIncarnation dead = worker.info.incarnation();
     post(listsTheDead ? new JobEvent.WorkerReborn(dead) : new JobEvent.WorkerUnlisted(dead));
   }
 
-  private void restart(LabWorker worker) {
-    LabWorker next = worker.nextLife(worker.info.id().value(), now);
+  private void restart(SimulatedWorker worker) {
+    SimulatedWorker next = worker.nextLife(worker.info.id().value(), now);
     replaced.add(worker);
     workers.put(next.info.id(), next);
     after(
@@ -299,11 +299,11 @@
   }
 
   /** Returns the news that a worker is about to leave. */
-  static JobEvent draining(LabWorker worker) {
+  static JobEvent draining(SimulatedWorker worker) {
     WorkerInfo info = worker.info;
     return new JobEvent.WorkerSeen(
         new WorkerInfo(
-            info.life(),
+            info.incarnation(),
             info.pool(),
             info.address(),
             info.dataCentre(),
@@ -321,7 +321,7 @@
   }
 
   private void started(JobScheduler from, JobEffect.StartRun order, StartResult result) {
-    post(from, new JobEvent.StartEnded(order.target().life(), order.run(), result));
+    post(from, new JobEvent.StartEnded(order.target().incarnation(), order.run(), result));
   }
 
   private Resources need(JobEffect.StartRun order) {
@@ -330,12 +330,14 @@
   }
 
   private void stop(JobScheduler from, long token, JobEffect.StopRun order) {
-    LabWorker worker = workers.get(order.target().life().worker());
+    SimulatedWorker worker = workers.get(order.target().incarnation().worker());
     long held = delay.applyAsLong(order);
     if (held > 0) {
       after(held, () -> workers.get(worker.info.id()).stop(order.run(), token));
       after(
-          900, () -> post(from, new JobEvent.StopEnded(order.target().life(), order.run(), false)));
+          900,
+          () ->
+              post(from, new JobEvent.StopEnded(order.target().incarnation(), order.run(), false)));
       return;
     }
     boolean answers = worker.reachable && !worker.dead && !lost.test(order);
@@ -345,12 +347,12 @@
           if (answers) {
             worker.stop(order.run(), token);
           }
-          post(from, new JobEvent.StopEnded(order.target().life(), order.run(), answers));
+          post(from, new JobEvent.StopEnded(order.target().incarnation(), order.run(), answers));
         });
   }
 
   private void look(JobScheduler from, long token, JobEffect.LookAtWorker order) {
-    WorkerLife asked = order.target().life();
+    WorkerIncarnation asked = order.target().incarnation();
     WorkerId id = asked.worker();
     long sent = now;
     long held = delay.applyAsLong(order);
@@ -362,7 +364,7 @@
     after(
         Math.max(tripMillis, Math.min(order.waitMillis(), longestWaitMillis)),
         () -> {
-          LabWorker worker = workers.get(id);
+          SimulatedWorker worker = workers.get(id);
           if (worker == null || !worker.reachable || worker.dead) {
             after(800, () -> post(from, new JobEvent.WorkerSilent(asked)));
           } else {
@@ -379,12 +381,12 @@
 
   /** Returns whether an order that waited for its connection may leave now. */
   boolean maySend(JobEffect.StartRun start) {
-    return leader.maySend(start.target().life(), start.run());
+    return leader.maySend(start.target().incarnation(), start.run());
   }
 
   /** Returns whether the leader may give the lead to an instance of a data centre. */
-  boolean mayMakeWay(String dataCentre) {
-    return leader.mayMakeWay(new DataCentreId(dataCentre));
+  boolean mayYieldLeadershipTo(String dataCentre) {
+    return leader.mayYieldLeadershipTo(new DataCentreId(dataCentre));
   }
 
   JobPhase phase(JobId job) {
