--- a/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
@@ -39,27 +39,28 @@
     return step(count, 2, List.of(), StepSpec.Trait.LASTS);
   }
 
-  private static JobLab lastingFleet() {
-    JobLab lab = fleet();
+  private static JobSimulation lastingFleet() {
+    JobSimulation lab = fleet();
     lab.workMillis = 600_000;
     return lab;
   }
 
-  private static long running(JobLab lab) {
-    return lab.workers.values().stream().mapToLong(LabWorker::count).sum();
+  private static long running(JobSimulation lab) {
+    return lab.workers.values().stream().mapToLong(SimulatedWorker::count).sum();
   }
 
   /** Has starts of lasting tasks carried out late on the worker that is lost. */
   private static boolean lateOnFirst(JobEffect.StartRun start) {
     return start.run().task().job().value().equals(LOST)
-        && start.target().life().worker().equals(FIRST);
+        && start.target().incarnation().worker().equals(FIRST);
   }
 
   private static boolean ofOther(JobEffect.StartRun start) {
     return start.run().task().job().value().equals(OTHER);
   }
 
-  private static void delay(JobLab lab, long arrivesMillis, Predicate<JobEffect.StartRun> delayed) {
+  private static void delay(
+      JobSimulation lab, long arrivesMillis, Predicate<JobEffect.StartRun> delayed) {
     lab.delay =
         effect ->
             effect instanceof JobEffect.StartRun start && delayed.test(start)
@@ -68,7 +69,7 @@
   }
 
   /** Submits lasting tasks, and returns as soon as their starts have left. */
-  private static void submitLost(JobLab lab) {
+  private static void submitLost(JobSimulation lab) {
     lab.submit(job(LOST, lasting(3)));
     while (lab.seen.stream().noneMatch(LastingLateStartTest::startsLost)) {
       lab.run(10);
@@ -80,7 +81,7 @@
   }
 
   /** Has the first worker back under its identifier just before a late start arrives. */
-  private static void lostUntil(JobLab lab, long arrivesMillis) {
+  private static void lostUntil(JobSimulation lab, long arrivesMillis) {
     lab.restartMillis = arrivesMillis - BACK_BEFORE_MILLIS - lab.now;
     crash(lab);
   }
@@ -103,7 +104,7 @@
     /** Guards against a lasting task beside its start, whenever that comes. */
     @Test(dataProvider = "moments")
     public void runsNoLastingTaskTwice(long late, long lost) {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + late;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? arrives - lab.now : 0;
       lab.submit(job("late", lasting(3)));
@@ -117,7 +118,7 @@
     /** Guards against a lasting task beside the only start that is late. */
     @Test
     public void runsNoLastingTaskTwiceWhereOnlyItsStartIsLate() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, LastingLateStartTest::lateOnFirst);
       submitLost(lab);
@@ -130,7 +131,7 @@
     /** Guards against a start that is forgotten as its worker is back before it goes unanswered. */
     @Test
     public void runsNoLastingTaskTwiceWhereItsWorkerIsSoonBack() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, LastingLateStartTest::lateOnFirst);
       submitLost(lab);
@@ -145,7 +146,7 @@
     /** Guards against a start that is forgotten as its worker's next life is never heard. */
     @Test
     public void runsNoLastingTaskTwiceWhereNextLifeIsNotHeard() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       lab.listsTheDead = false;
       final long arrives = lab.now + 11_800;
       delay(lab, arrives, LastingLateStartTest::lateOnFirst);
@@ -166,7 +167,7 @@
     /** Guards against a lasting task that is away for longer than its start may take. */
     @Test
     public void keepsLastingTaskAwayNoLongerThanItsStartMayCome() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       lab.restartMillis = 120_000;
       final long sent = lab.now;
       submitLate(lab, 30_000, lasting(3));
@@ -178,7 +179,7 @@
     /** Guards against a task that was at work and waits for a copy of its start once lost. */
     @Test
     public void keepsTaskThatWasAtWorkNoLongerThanLeases() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       lab.restartMillis = 120_000;
       submitLate(lab, 30_000, lasting(3));
       lab.run(LateStart.LATEST_MILLIS);
@@ -195,7 +196,7 @@
     /** Guards against a lasting task that is away for longer than after any loss of its worker. */
     @Test
     public void keepsLastingTaskAwayNoLongerThanLeases() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       lab.restartMillis = 120_000;
       delay(lab, lab.now + 30_000, LastingLateStartTest::lateOnFirst);
       submitLost(lab);
@@ -207,7 +208,7 @@
     /** Guards against a lasting task beside its start where a start before it was ignored. */
     @Test
     public void runsNoLastingTaskTwiceWhereOrdersWereLate() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, start -> lateOnFirst(start) || ofOther(start));
       lab.submit(job(OTHER, step(1, 2, List.of())));
@@ -221,7 +222,7 @@
     /** Guards against a lasting task beside its start where a start after it is ignored. */
     @Test
     public void runsNoLastingTaskTwiceWhereOrdersAreLateSince() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, start -> lateOnFirst(start) || ofOther(start));
       submitLost(lab);
@@ -235,7 +236,7 @@
     /** Guards against a start on one worker that is mistaken for an earlier one on another. */
     @Test
     public void tellsStartFromOneThatItWaitedForNoLonger() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       crash(lab);
       lab.run(3_000);
       final long arrives = lab.now + 20_500;
@@ -261,7 +262,7 @@
     /** Guards against a lasting task beside its start where nothing else shows late orders. */
     @Test
     public void runsNoLastingTaskTwiceWhereNothingElseIsLate() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, LastingLateStartTest::lateOnFirst);
       submitLost(lab);
@@ -277,7 +278,7 @@
     /** Guards against a next leader that starts a lasting task beside its start. */
     @Test
     public void startsNoLastingTaskElsewhereWhereOrdersAreLate() {
-      JobLab lab = lastingFleet();
+      JobSimulation lab = lastingFleet();
       final long arrives = lab.now + 11_000;
       delay(lab, arrives, start -> lateOnFirst(start) || ofOther(start));
       submitLost(lab);
--- a/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
@@ -27,8 +27,8 @@
 
   private static final WorkerId FIRST = new WorkerId("w0");
 
-  private static JobLab fleet(int workers) {
-    JobLab lab = returningFleet(workers);
+  private static JobSimulation fleet(int workers) {
+    JobSimulation lab = returningFleet(workers);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
@@ -38,7 +38,7 @@
     return effect instanceof JobEffect.LookAtWorker look && look.acknowledged() > 0;
   }
 
-  private static void awaitAcknowledgement(JobLab lab) {
+  private static void awaitAcknowledgement(JobSimulation lab) {
     final long latest = lab.now + 60_000;
     while (lab.seen.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
       assertTrue(lab.now < latest, "no end is acknowledged");
@@ -51,7 +51,7 @@
    *
    * @return jobs whose ends it named, and one that was running when the worker crashed
    */
-  private static List<JobSpec> reachNextLife(JobLab lab, long delay) {
+  private static List<JobSpec> reachNextLife(JobSimulation lab, long delay) {
     final List<JobSpec> before = submit(lab, "before", 2);
     lab.delay = effect -> acknowledges(effect) ? delay : 0;
     awaitAcknowledgement(lab);
@@ -80,7 +80,7 @@
     /** Guards against ends that a life never lists, whose tasks run again. */
     @Test(dataProvider = "lateBy")
     public void runsNothingAgainWhoseEndIsNotListed(long delay) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, delay);
       lab.run(RESTART_MILLIS + 1_500);
       final List<JobSpec> after = submit(lab, "after", 4);
@@ -92,7 +92,7 @@
     /** Guards against the same where the leader changes before the next life is asked. */
     @Test(dataProvider = "lateBy")
     public void runsNothingAgainAfterTakeover(long delay) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, delay);
       lab.leaderDies();
       lab.run(RESTART_MILLIS + 1_500);
@@ -119,7 +119,7 @@
     }
 
     private static void assertDoneOnce(Predicate<JobEffect> late, long delay) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       AtomicLong sent = new AtomicLong();
       lab.delay =
@@ -168,7 +168,7 @@
     }
 
     private static void assertDoneOnceInOutage(long millis, boolean starts, boolean looks) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       AtomicLong began = new AtomicLong(Long.MAX_VALUE);
       Predicate<JobEffect> away =
@@ -207,12 +207,12 @@
       }
     }
 
-    private static <T extends JobEffect> List<T> seen(JobLab lab, Class<T> kind) {
+    private static <T extends JobEffect> List<T> seen(JobSimulation lab, Class<T> kind) {
       return lab.seen.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
     /** Returns the start or stop that comes next. */
-    private static <T extends JobEffect> T next(JobLab lab, Class<T> kind) {
+    private static <T extends JobEffect> T next(JobSimulation lab, Class<T> kind) {
       int before = seen(lab, kind).size();
       for (int i = 0; i < 3_000 && seen(lab, kind).size() == before; i++) {
         lab.run(10);
@@ -223,14 +223,15 @@
     /** Guards against a run that was done, taken for stopped since the one before it was. */
     @Test
     public void runsNothingAgainWhoseStopWasForAnotherRun() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 1_000 : 0;
       JobEffect.StartRun refused = next(lab, JobEffect.StartRun.class);
       lab.run(10);
       lab.delay = effect -> effect instanceof JobEffect.StopRun ? 900 : 0;
       lab.post(
-          new JobEvent.StartEnded(refused.target().life(), refused.run(), StartResult.NO_ROOM));
+          new JobEvent.StartEnded(
+              refused.target().incarnation(), refused.run(), StartResult.NO_ROOM));
       lab.run(40_000);
       assertComplete(lab, before);
     }
@@ -238,7 +239,7 @@
     /** Guards against a run that was done, taken for stopped soon after a copy of its start. */
     @Test
     public void runsNothingAgainWhoseStartWasCopied() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       final int starts = seen(lab, JobEffect.StartRun.class).size();
       lab.lost = effect -> true;
@@ -260,7 +261,7 @@
     /** Guards against a run that goes on by a lease which a service there needed before. */
     @Test(dataProvider = "serviceEnds")
     public void runsNothingAgainWhereServiceHeldLease(long unlistedMillis) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       JobSpec service = job("service", step(1, 7, List.of(), StepSpec.Trait.LASTS));
       lab.workMillis = 600_000;
@@ -270,7 +271,7 @@
       lab.post(new JobEvent.JobCancelled(service.id()));
       lab.run(300);
       if (unlistedMillis > 0) {
-        lab.post(new JobEvent.WorkerUnlisted(lab.workers.get(FIRST).info.life()));
+        lab.post(new JobEvent.WorkerUnlisted(lab.workers.get(FIRST).info.incarnation()));
         lab.run(unlistedMillis);
         lab.post(new JobEvent.WorkerSeen(lab.workers.get(FIRST).info));
       }
@@ -293,7 +294,7 @@
     /** Guards against a run that goes on by a lease which the leader before had on its way. */
     @Test
     public void runsNothingAgainWhereFormerLeadersLeaseCame() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final long arrives = lab.now + 11_900;
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 11_900 : 0;
       while (lab.seen.stream().noneMatch(StoppedRuns::leases) && lab.now < arrives) {
@@ -332,7 +333,7 @@
     /** Guards against a run that is done since its leader is lost before it can be stopped. */
     @Test(dataProvider = "leaderLost")
     public void runsNothingAgainWhoseLeaderIsLost(long afterMillis, long lostMillis) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       next(lab, JobEffect.StartRun.class);
       lab.run(afterMillis);
@@ -361,7 +362,7 @@
     /** Guards against next leaders that take such a life for one that lists all its ends. */
     @Test
     public void remembersLifeThatGotNoWork() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       reachNextLife(lab, 3_000);
       lab.evacuate("dc");
       lab.run(RESTART_MILLIS + 1_500);
@@ -380,7 +381,7 @@
     /** Guards against ends that are named late where the leader is lost with an idle worker. */
     @Test(dataProvider = "lateBy", dataProviderClass = NextLife.class)
     public void knowsLifeThatHeldNothing(long delay) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = submit(lab, "before", 2);
       lab.delay = effect -> acknowledges(effect) ? delay : 0;
       awaitAcknowledgement(lab);
@@ -399,7 +400,7 @@
     /** Guards against the same where nothing is left to save when ends are named at last. */
     @Test
     public void knowsLifeWhoseEndsWereHeld() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 30_000 : 0;
       final List<JobSpec> before = submit(lab, "before", 1);
       lab.run(100);
@@ -420,7 +421,7 @@
     /** Guards against a life that is forgotten between its first answer and its entry. */
     @Test
     public void remembersLifeThatIsNotListedYet() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = submit(lab, "before", 2);
       lab.delay = effect -> acknowledges(effect) ? 6_000 : 0;
       awaitAcknowledgement(lab);
@@ -449,7 +450,7 @@
     /** Guards against stopped runs on workers that no acknowledgement can have reached. */
     @Test
     public void stopsNothingWhereNoneIsLate() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       submit(lab, "before", 2);
       lab.run(6_000);
       lab.crash(lab.workers.get(FIRST));
@@ -463,7 +464,7 @@
     /** Guards against a restarted worker that gets one task at a time for longer than needed. */
     @Test
     public void stopsOneRunWhereNoneArrived() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       final List<JobSpec> before = submit(lab, "before", 2);
       lab.delay = effect -> acknowledges(effect) ? 30_000 : 0;
       lab.run(700);
@@ -481,7 +482,7 @@
     /** Guards against a service that keeps all other work away for as long as it runs there. */
     @Test
     public void letsTasksBeginBesideService() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       reachNextLife(lab, 3_000);
       lab.workMillis = 600_000;
       lab.submit(job("service", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
@@ -495,13 +496,13 @@
     /** Guards against a task that never begins where orders take longer than its lease. */
     @Test
     public void goesElsewhereWhereOrdersTakeTooLong() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       reachNextLife(lab, 3_000);
       lab.run(RESTART_MILLIS + 12_000);
       lab.tripMillis = 250;
       final List<JobSpec> after = submit(lab, "after", 1);
       lab.run(3_000);
-      LabWorker second = new LabWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w1", 8);
       lab.workers.put(second.info.id(), second);
       lab.post(new JobEvent.WorkerSeen(second.info));
       lab.run(20_000);
@@ -511,7 +512,7 @@
     /** Guards against looks without a pause, and no acknowledgement, while renewals fail. */
     @Test
     public void looksNoMoreOftenWhileStoreIsAway() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       lab.submit(job("short", step(1, 2, List.of())));
       lab.run(100);
       lab.workMillis = 20_000;
@@ -533,7 +534,7 @@
     /** Guards against acknowledgements that are repeated with nothing to forget. */
     @Test
     public void namesNoEndsWhereNoneAreListed() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       submit(lab, "before", 2);
       lab.run(3_000);
       lab.seen.clear();
--- a/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
@@ -31,13 +31,13 @@
 
   /** A lab whose unwanted runs are timed. */
   private static final class Watch {
-    final JobLab lab;
+    final JobSimulation lab;
     final Set<JobId> cancelled = new HashSet<>();
     final List<String> overdue = new ArrayList<>();
     private final Map<RunKey, Long> since = new HashMap<>();
     long longestMillis;
 
-    Watch(JobLab lab) {
+    Watch(JobSimulation lab) {
       this.lab = lab;
     }
 
@@ -92,7 +92,7 @@
 
     /** Submits a job whose every start stays on its way for so long. */
     private static Watch withStartOnItsWay(long delay) {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.workMillis = 60_000;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? delay : 0;
       lab.submit(job("a", step(1, 2, List.of())));
@@ -201,7 +201,7 @@
      */
     @Test
     public void looksOftenWhereStartsMayStillCome() {
-      JobLab lab = lab(new LabWorker("w1", 8));
+      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
       lab.lost =
           effect -> effect instanceof JobEffect.StartRun || effect instanceof JobEffect.StopRun;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? LATEST_MILLIS : 0;
@@ -215,7 +215,7 @@
       }
     }
 
-    private static int looks(JobLab lab) {
+    private static int looks(JobSimulation lab) {
       return (int) lab.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count();
     }
 
@@ -226,8 +226,8 @@
      */
     @Test
     public void unwantedRunsKeepWorkersFromBeingIdle() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
       lab.leaderDies();
@@ -243,8 +243,8 @@
       assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
     }
 
-    private static JobEffect.StartRun order(JobLab lab, LabWorker worker) {
-      OrderTarget target = new OrderTarget(worker.info.life(), worker.info.address(), 0);
+    private static JobEffect.StartRun order(JobSimulation lab, SimulatedWorker worker) {
+      OrderTarget target = new OrderTarget(worker.info.incarnation(), worker.info.address(), 0);
       RunKey run = new RunKey(GONE, 1);
       return new JobEffect.StartRun(target, run, "", lab.now + 9_000, "");
     }
@@ -271,7 +271,11 @@
 
     private static List<String> play(int seed) {
       Random random = new Random(seed);
-      JobLab lab = lab(new LabWorker("w1", 8), new LabWorker("w2", 8), new LabWorker("w3", 4));
+      JobSimulation lab =
+          lab(
+              new SimulatedWorker("w1", 8),
+              new SimulatedWorker("w2", 8),
+              new SimulatedWorker("w3", 4));
       lab.workMillis = 3_000;
       lab.delay = effect -> random.nextInt(100) < 12 ? 2_000 + random.nextInt(10_000) : 0;
       final Watch watch = new Watch(lab);
--- a/core/src/test/java/org/cottontack/core/job/LateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateStartTest.java
@@ -24,19 +24,19 @@
 
   static final WorkerId FIRST = new WorkerId("w0");
 
-  static JobLab fleet() {
-    JobLab lab = returningFleet(2);
+  static JobSimulation fleet() {
+    JobSimulation lab = returningFleet(2);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
   }
 
-  static void crash(JobLab lab) {
+  static void crash(JobSimulation lab) {
     lab.crash(lab.workers.get(FIRST));
   }
 
   /** Submits a job whose starts get no answer and are carried out so late. */
-  static JobSpec submitLate(JobLab lab, long delay, StepSpec step) {
+  static JobSpec submitLate(JobSimulation lab, long delay, StepSpec step) {
     lab.delay = effect -> effect instanceof JobEffect.StartRun ? delay : 0;
     JobSpec job = job("late", step);
     lab.submit(job);
@@ -46,7 +46,7 @@
   }
 
   /** Lets the first worker be back under its identifier just before a start of then arrives. */
-  static void backJustBefore(JobLab lab, long arrivesMillis) {
+  static void backJustBefore(JobSimulation lab, long arrivesMillis) {
     lab.run(arrivesMillis - BACK_BEFORE_MILLIS - RESTART_MILLIS - lab.now);
     crash(lab);
   }
@@ -69,7 +69,7 @@
     /** Guards against a task that runs elsewhere beside a start which a later life carries out. */
     @Test(dataProvider = "lateBy")
     public void runsNoTaskTwiceWhereLaterLifeGetsItsStart(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = WORK_MILLIS;
       final long arrives = lab.now + delay;
       final JobSpec job = submitLate(lab, delay, step(3, 2, List.of()));
@@ -82,7 +82,7 @@
     /** Guards against a failed task that is tried elsewhere while a copy of its start may come. */
     @Test(dataProvider = "lateBy")
     public void runsNoFailedTaskTwiceWhereNextLifeGetsCopyOfStart(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + delay;
       final JobSpec job = submitLate(lab, delay, step(3, 2, List.of()));
       lab.fails = true;
@@ -97,20 +97,20 @@
     /** Guards against a lasting task beside a start that comes after the end of its leases. */
     @Test
     public void runsNoLastingTaskTwiceWhereItsStartOutlastsLeases() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = 600_000;
       final long arrives = lab.now + 11_000;
       submitLate(lab, 11_000, step(3, 2, List.of(), StepSpec.Trait.LASTS));
       lab.restartMillis = arrives - BACK_BEFORE_MILLIS - lab.now;
       crash(lab);
       lab.run(30_000);
-      assertEquals(lab.workers.values().stream().mapToLong(LabWorker::count).sum(), 3);
+      assertEquals(lab.workers.values().stream().mapToLong(SimulatedWorker::count).sum(), 3);
     }
 
     /** Guards against tasks that wait although another worker is at their worker's address. */
     @Test
     public void waitsNoLongerWhereItsWorkerIsReplaced() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.keepsIds = false;
       lab.listsTheDead = false;
       final JobSpec job = submitLate(lab, 30_000, step(3, 2, List.of()));
@@ -126,7 +126,7 @@
     /** Guards against a copy that runs on the next life after the end was acknowledged. */
     @Test(dataProviderClass = Binding.class, dataProvider = "lateBy")
     public void runsNothingDoneWhereNextLifeGetsCopyOfStart(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + delay;
       final JobSpec job = submitLate(lab, delay, step(3, 2, List.of()));
       lab.run(1_700);
@@ -139,7 +139,7 @@
     /** Guards against a next leader that acknowledges at once what the one before held. */
     @Test
     public void runsNothingDoneWhereCopyComesAfterTakeover() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final long arrives = lab.now + 10_000;
       final JobSpec job = submitLate(lab, 10_000, step(3, 2, List.of()));
       lab.run(1_700);
@@ -155,7 +155,7 @@
     /** Guards against ends that are never acknowledged. */
     @Test
     public void acknowledgesEndsOnceNoCopyMayArrive() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       submitLate(lab, 30_000, step(3, 2, List.of()));
       lab.run(LateStart.LATEST_MILLIS - 1_000);
       assertEquals(acknowledged(lab), 0);
@@ -163,8 +163,8 @@
       assertEquals(acknowledged(lab), 3);
     }
 
-    private static long acknowledged(JobLab lab) {
-      return lab.workers.values().stream().mapToLong(LabWorker::acknowledgedEnds).sum();
+    private static long acknowledged(JobSimulation lab) {
+      return lab.workers.values().stream().mapToLong(SimulatedWorker::acknowledgedEnds).sum();
     }
   }
 
@@ -174,7 +174,7 @@
     /** Guards against a run that begins beside an unwanted one whose stop is lost. */
     @Test(dataProviderClass = Binding.class, dataProvider = "lateBy")
     public void startsNothingBesideUnwantedRun(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.workMillis = WORK_MILLIS;
       final long arrives = lab.now + delay;
       final JobSpec job = submitLate(lab, delay, step(3, 2, List.of()));
@@ -190,7 +190,7 @@
     /** Guards against a task that is given up since its only worker crashes again and again. */
     @Test
     public void givesUpNothingWhoseWorkerFlaps() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.restartMillis = 100;
       lab.workMillis = 3_000;
       final JobSpec job = submitLate(lab, 30_000, step(3, 2, List.of()));
@@ -215,7 +215,7 @@
     }
 
     /** Submits a job, and has its worker come back just before the start arrives. */
-    private static JobSpec submitAndCrash(JobLab lab, long delay) {
+    private static JobSpec submitAndCrash(JobSimulation lab, long delay) {
       lab.workMillis = WORK_MILLIS;
       final JobSpec job = submitLate(lab, delay, step(3, 2, List.of()));
       lab.restartMillis = delay - 100 - BACK_BEFORE_MILLIS;
@@ -226,7 +226,7 @@
     /** Guards against a task that the next leader starts elsewhere beside an earlier start. */
     @Test(dataProvider = "lateBy")
     public void startsNoPlacedTaskElsewhere(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final JobSpec job = submitAndCrash(lab, delay);
       lab.leaderDies();
       lab.run(1_000);
@@ -240,7 +240,7 @@
      */
     @Test(dataProvider = "lateBy")
     public void startsNoWaitingTaskElsewhere(long delay) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final JobSpec job = submitAndCrash(lab, delay);
       lab.run(9_200);
       lab.leaderDies();
@@ -259,7 +259,7 @@
       Job job = new Job(job("a", step(1, 2, List.of())), 0);
       job.advance(0);
       Task task = job.tasks().findFirst().orElseThrow();
-      WorkerLife life = new WorkerLife(FIRST, 7);
+      WorkerIncarnation life = new WorkerIncarnation(FIRST, 7);
       task.place(life, 0);
       task.sent(10);
       task.unanswered();
@@ -270,7 +270,7 @@
       ProgressText.restore(read, text);
       assertEquals(
           read.tasks().findFirst().orElseThrow().worker,
-          new WorkerLife(FIRST, life.bornMillis() + 1));
+          new WorkerIncarnation(FIRST, life.startTimeMillis() + 1));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/LeaderLeaseTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LeaderLeaseTest.java
@@ -75,9 +75,9 @@
     public void lapsesAfterWatchedSilence() {
       LeaderLease lease = new LeaderLease();
       watch(lease, 0, 2_000, 7);
-      assertFalse(lease.lapsed());
+      assertFalse(lease.expired());
       watch(lease, 2_500, 2_500, 7);
-      assertTrue(lease.lapsed());
+      assertTrue(lease.expired());
     }
 
     @Test
@@ -85,7 +85,7 @@
       LeaderLease lease = new LeaderLease();
       watch(lease, 0, 2_000, 7);
       watch(lease, 2_500, 4_000, 8);
-      assertFalse(lease.lapsed());
+      assertFalse(lease.expired());
     }
 
     /**
@@ -97,7 +97,7 @@
       LeaderLease lease = new LeaderLease();
       lease.observed(0, 7);
       lease.observed(60_000, 7);
-      assertFalse(lease.lapsed());
+      assertFalse(lease.expired());
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
@@ -58,10 +58,10 @@
       for (int i = 0; i < 20; i++) {
         interference.learn(crowd, 500L * i);
       }
-      Estimates estimates = new Estimates();
+      DurationEstimates estimates = new DurationEstimates();
       estimates.learn(QUEUE, TestStep.tasks(1).of(), 900);
       Interference next = new LearnedInterference();
-      Estimates nextEstimates = new Estimates();
+      DurationEstimates nextEstimates = new DurationEstimates();
       new LearnedText(next, nextEstimates)
           .restore(
               new LearnedText(interference, estimates).write(Set.of(), Set.of(), Map.of()).text(),
@@ -97,7 +97,7 @@
     @Test(dataProvider = "texts")
     public void skipsWhatItCannotRead(String text) {
       Interference interference = new LearnedInterference();
-      new LearnedText(interference, new Estimates())
+      new LearnedText(interference, new DurationEstimates())
           .restore(
               text + "\nheadroom web batch 5.00 0.05",
               new HashSet<>(),
@@ -113,11 +113,11 @@
     /** Guards against a leader that takes lives sent acknowledgements for ones that hide ends. */
     @Test
     public void keepsBothKindsApart() {
-      Set<WorkerLife> hiding = Set.of(new WorkerLife(new WorkerId("a b"), 5));
-      Set<WorkerLife> acknowledged = Set.of(new WorkerLife(new WorkerId("c"), 6));
-      LearnedText text = new LearnedText(new LearnedInterference(), new Estimates());
-      Set<WorkerLife> nextHiding = new HashSet<>();
-      Set<WorkerLife> nextAcknowledged = new HashSet<>();
+      Set<WorkerIncarnation> hiding = Set.of(new WorkerIncarnation(new WorkerId("a b"), 5));
+      Set<WorkerIncarnation> acknowledged = Set.of(new WorkerIncarnation(new WorkerId("c"), 6));
+      LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
+      Set<WorkerIncarnation> nextHiding = new HashSet<>();
+      Set<WorkerIncarnation> nextAcknowledged = new HashSet<>();
       text.restore(
           text.write(hiding, acknowledged, Map.of()).text(),
           nextHiding,
@@ -130,15 +130,15 @@
     /** Guards against held ends left out for lives that hide ends. */
     @Test
     public void keepsHeldEndsWhereNotAllFit() {
-      Set<WorkerLife> hiding =
+      Set<WorkerIncarnation> hiding =
           IntStream.range(0, 2_000)
-              .mapToObj(i -> new WorkerLife(new WorkerId("w" + i), 1_000_000 + i))
+              .mapToObj(i -> new WorkerIncarnation(new WorkerId("w" + i), 1_000_000 + i))
               .collect(Collectors.toSet());
-      Map<WorkerLife, Long> held = Map.of(new WorkerLife(new WorkerId("a"), 5), 17L);
-      LearnedText text = new LearnedText(new LearnedInterference(), new Estimates());
+      Map<WorkerIncarnation, Long> held = Map.of(new WorkerIncarnation(new WorkerId("a"), 5), 17L);
+      LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
       LearnedText.Written written = text.write(hiding, hiding, held);
       assertTrue(written.livesCut() > 0);
-      Map<WorkerLife, Long> next = new HashMap<>();
+      Map<WorkerIncarnation, Long> next = new HashMap<>();
       text.restore(written.text(), new HashSet<>(), new HashSet<>(), next);
       assertEquals(next, held);
     }
@@ -146,10 +146,11 @@
     /** Guards against held ends that the next leader does not know, or of another life. */
     @Test
     public void keepsHeldEnds() {
-      Map<WorkerLife, Long> held = Map.of(new WorkerLife(new WorkerId("a b"), 5), 17L);
-      LearnedText text = new LearnedText(new LearnedInterference(), new Estimates());
-      Map<WorkerLife, Long> next = new HashMap<>();
-      Set<WorkerLife> others = new HashSet<>();
+      Map<WorkerIncarnation, Long> held =
+          Map.of(new WorkerIncarnation(new WorkerId("a b"), 5), 17L);
+      LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
+      Map<WorkerIncarnation, Long> next = new HashMap<>();
+      Set<WorkerIncarnation> others = new HashSet<>();
       String written = text.write(Set.of(), Set.of(), held).text();
       assertEquals(text.restore(written, others, others, next), 0);
       assertEquals(next, held);
@@ -174,7 +175,9 @@
             500L * i);
       }
       String text =
-          new LearnedText(interference, new Estimates()).write(Set.of(), Set.of(), Map.of()).text();
+          new LearnedText(interference, new DurationEstimates())
+              .write(Set.of(), Set.of(), Map.of())
+              .text();
       assertTrue(
           text.getBytes(StandardCharsets.UTF_8).length <= LearnedText.MOST_BYTES,
           "bytes: " + text.length());
@@ -193,9 +196,9 @@
         interference.learn(harmless, 500L * i);
       }
       Interference next = new LearnedInterference();
-      new LearnedText(next, new Estimates())
+      new LearnedText(next, new DurationEstimates())
           .restore(
-              new LearnedText(interference, new Estimates())
+              new LearnedText(interference, new DurationEstimates())
                   .write(Set.of(), Set.of(), Map.of())
                   .text(),
               new HashSet<>(),
--- a/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
+++ b/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
@@ -21,14 +21,14 @@
 
   private static final WorkerId FIRST = new WorkerId("w0");
 
-  private static JobLab fleet() {
-    JobLab lab = returningFleet(1);
+  private static JobSimulation fleet() {
+    JobSimulation lab = returningFleet(1);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
   }
 
-  private static void until(JobLab lab, long millis) {
+  private static void until(JobSimulation lab, long millis) {
     lab.run(Math.max(0, millis - lab.now));
   }
 
@@ -37,7 +37,7 @@
   }
 
   /** Has the next acknowledgement carried out so late; returns when. */
-  private static long acknowledgeLate(JobLab lab, long delay) {
+  private static long acknowledgeLate(JobSimulation lab, long delay) {
     lab.delay = effect -> acknowledges(effect) ? delay : 0;
     for (int i = 0;
         i < 1_000 && lab.seen.stream().noneMatch(OrdersInDoubtTest::acknowledges);
@@ -50,7 +50,7 @@
     return arrives;
   }
 
-  private static void crashSoThatItIsBackAt(JobLab lab, long millis) {
+  private static void crashSoThatItIsBackAt(JobSimulation lab, long millis) {
     until(lab, millis - RESTART_MILLIS);
     lab.crash(lab.workers.get(FIRST));
     until(lab, millis);
@@ -68,7 +68,7 @@
      */
     private static void assertDoneOnce(
         long afterMillis, long workMillis, Predicate<JobEffect> lost) {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final List<JobSpec> before = submit(lab, "before", 2);
       final long arrives = acknowledgeLate(lab, 4_000);
       final long born = arrives - BACK_BEFORE_MILLIS;
@@ -110,7 +110,7 @@
     /** Guards against a run that is done before the lease that is to end it does. */
     @Test
     public void runsNothingAgainThatIsDoneAtOnce() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       final List<JobSpec> before = submit(lab, "before", 2);
       final long arrives = acknowledgeLate(lab, 3_000);
       crashSoThatItIsBackAt(lab, arrives - BACK_BEFORE_MILLIS);
--- a/core/src/test/java/org/cottontack/core/job/ReachTest.java
+++ b/core/src/test/java/org/cottontack/core/job/PartitionDetectorTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of which data centres a leader counts as on its side of a partition. */
-public class ReachTest {
+public class PartitionDetectorTest {
 
   private static final DataCentreId THERE = new DataCentreId("there");
 
@@ -20,7 +20,7 @@
         .mapToObj(
             number -> {
               Worker worker = worker(dataCentre, number);
-              worker.heard = number < heard + silent;
+              worker.everAnswered = number < heard + silent;
               worker.silent = number >= heard && number < heard + silent;
               return worker;
             })
@@ -28,7 +28,8 @@
   }
 
   private static Worker worker(String dataCentre, int number) {
-    WorkerLife life = WorkerLife.only(new WorkerId(dataCentre + number));
+    WorkerIncarnation life =
+        WorkerIncarnation.withUniqueIdentifier(new WorkerId(dataCentre + number));
     DataCentreId place = new DataCentreId(dataCentre);
     Resources room = new Resources(1_000, 1_000, 0);
     Worker worker =
@@ -45,7 +46,7 @@
 
   private static boolean reaches(List<Worker> there) {
     List<Worker> here = workers("here", 5, 0, 0);
-    return Reach.reaches(Stream.concat(here.stream(), there.stream()).toList(), THERE);
+    return PartitionDetector.reaches(Stream.concat(here.stream(), there.stream()).toList(), THERE);
   }
 
   /** Data centres beside the leader's own. */
--- a/core/src/test/java/org/cottontack/core/job/AwaitedStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/PendingStartTest.java
@@ -14,20 +14,20 @@
 import org.testng.annotations.Test;
 
 /** Tests of starts whose run is over before they are answered. */
-public class AwaitedStartTest {
+public class PendingStartTest {
 
   /** How long before a late start a worker is back: too short for its leader to ask it. */
   private static final long BACK_BEFORE_MILLIS = 20;
 
-  private static JobLab fleet(int workers) {
-    JobLab lab = returningFleet(workers);
+  private static JobSimulation fleet(int workers) {
+    JobSimulation lab = returningFleet(workers);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
   }
 
   /** Has the second start carried out so late, the first one as given. */
-  private static AtomicInteger delayStarts(JobLab lab, long first, long second) {
+  private static AtomicInteger delayStarts(JobSimulation lab, long first, long second) {
     AtomicInteger sent = new AtomicInteger();
     lab.delay =
         effect ->
@@ -35,13 +35,13 @@
     return sent;
   }
 
-  private static void runUntilSent(JobLab lab, AtomicInteger sent, int starts) {
+  private static void runUntilSent(JobSimulation lab, AtomicInteger sent, int starts) {
     while (sent.get() < starts) {
       lab.run(10);
     }
   }
 
-  private static void backJustBefore(JobLab lab, WorkerId worker, long arrivesMillis) {
+  private static void backJustBefore(JobSimulation lab, WorkerId worker, long arrivesMillis) {
     lab.run(arrivesMillis - BACK_BEFORE_MILLIS - RESTART_MILLIS - lab.now);
     lab.crash(lab.workers.get(worker));
   }
@@ -52,13 +52,13 @@
     /** Guards against a start that is forgotten since its run was stopped before its answer. */
     @Test
     public void runsNothingDoneWhereStoppedStartComesLate() {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       final AtomicInteger sent = delayStarts(lab, 0, 8_000);
       final JobSpec job = job("stopped", step(1, 2, List.of()));
       lab.submit(job);
       runUntilSent(lab, sent, 1);
       lab.run(100);
-      final LabWorker first =
+      final SimulatedWorker first =
           lab.workers.values().stream().filter(w -> w.count() > 0).findFirst().orElseThrow();
       final WorkerId second =
           lab.workers.keySet().stream()
@@ -81,7 +81,7 @@
     /** Guards against a start sent again that is forgotten since the first one began its run. */
     @Test
     public void runsNothingDoneWhereStartSentAgainComesLate() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       lab.workMillis = 100;
       final AtomicInteger sent = delayStarts(lab, 1_500, 11_900);
       final JobSpec job = job("again", step(1, 2, List.of()));
@@ -99,11 +99,11 @@
   /** What a task knows. */
   public static class Known {
 
-    private static final WorkerLife LIFE = new WorkerLife(new WorkerId("w0"), 7);
-    private static final WorkerLife NEXT = new WorkerLife(new WorkerId("w0"), 70);
-    private static final WorkerLife OTHER = new WorkerLife(new WorkerId("w1"), 9);
+    private static final WorkerIncarnation LIFE = new WorkerIncarnation(new WorkerId("w0"), 7);
+    private static final WorkerIncarnation NEXT = new WorkerIncarnation(new WorkerId("w0"), 70);
+    private static final WorkerIncarnation OTHER = new WorkerIncarnation(new WorkerId("w1"), 9);
 
-    private static Task sentTo(WorkerLife life) {
+    private static Task sentTo(WorkerIncarnation life) {
       Job job = new Job(job("known", step(1, 2, List.of())), 0);
       job.advance(0);
       Task task = job.tasks().findFirst().orElseThrow();
@@ -117,12 +117,12 @@
     public void remembersStartOfRunThatIsOver() {
       Task task = sentTo(LIFE);
       task.release();
-      assertTrue(task.bound(LateStart.LATEST_MILLIS + 9));
-      assertFalse(task.bound(LateStart.LATEST_MILLIS + 10));
+      assertTrue(task.pinned(LateStart.LATEST_MILLIS + 9));
+      assertFalse(task.pinned(LateStart.LATEST_MILLIS + 10));
       assertFalse(task.mayStartOn(OTHER, 1_000));
       assertTrue(task.mayStartOn(NEXT, 1_000));
       task.startEnded(LIFE, 1, false);
-      assertTrue(task.bound(1_000));
+      assertTrue(task.pinned(1_000));
     }
 
     /** Guards against tasks that wait for a start whose answer came after its run was over. */
@@ -131,7 +131,7 @@
       Task task = sentTo(LIFE);
       task.release();
       task.startEnded(LIFE, 1, true);
-      assertFalse(task.bound(1_000));
+      assertFalse(task.pinned(1_000));
     }
 
     /** Guards against an answer to one start that is taken for that to another. */
@@ -141,7 +141,7 @@
       task.release();
       task.startEnded(NEXT, 1, true);
       task.startEnded(LIFE, 2, true);
-      assertTrue(task.bound(1_000));
+      assertTrue(task.pinned(1_000));
     }
 
     /** Guards against a start that is forgotten when the next run's leaves. */
@@ -152,28 +152,28 @@
       task.place(NEXT, 5_000);
       task.sent(5_000);
       task.startEnded(NEXT, 2, true);
-      assertTrue(task.bound(LateStart.LATEST_MILLIS + 9));
+      assertTrue(task.pinned(LateStart.LATEST_MILLIS + 9));
     }
 
     /** Guards against a start that no longer counts and binds its task to another worker. */
     @Test
     public void forgetsExpiredStartWhereNextOneLeaves() {
-      WorkerLife late = new WorkerLife(new WorkerId("w0"), 700);
+      WorkerIncarnation late = new WorkerIncarnation(new WorkerId("w0"), 700);
       Task task = sentTo(late);
       task.startEnded(late, 1, false);
       task.release();
       task.place(OTHER, 20_000);
       task.sent(20_000);
       task.release();
-      assertTrue(task.boundTo(OTHER.worker()));
+      assertTrue(task.pinnedTo(OTHER.worker()));
     }
 
     /** Guards against waiting for lives of workers that never return. */
     @Test
     public void awaitsNothingOfWorkersThatDoNotReturn() {
-      Task task = sentTo(WorkerLife.only(new WorkerId("w0")));
+      Task task = sentTo(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w0")));
       task.release();
-      assertFalse(task.bound(1_000));
+      assertFalse(task.pinned(1_000));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
@@ -40,7 +40,7 @@
     public void keepsAnyCheckpoint(String checkpoint) {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      task.place(WorkerLife.only(new WorkerId("w")), 0);
+      task.place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 0);
       task.checkpoint = checkpoint;
       String text = ProgressText.write(job);
       assertTrue(ProgressText.readable(text));
@@ -58,7 +58,7 @@
     public void keepsCrashes() {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      task.place(WorkerLife.only(new WorkerId("w")), 0);
+      task.place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 0);
       task.crashes = 3;
       task.blamed = 1;
       Job next = job();
@@ -72,7 +72,7 @@
     public void keepsLifeOfWorker(int crashes) {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      WorkerLife life = new WorkerLife(new WorkerId("w"), 1_700_000_000_123L);
+      WorkerIncarnation life = new WorkerIncarnation(new WorkerId("w"), 1_700_000_000_123L);
       task.place(life, 0);
       task.crashes = crashes;
       Job next = job();
@@ -87,13 +87,13 @@
     public void keepsThatCopiesMayCome(int crashes) {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      task.place(new WorkerLife(new WorkerId("w"), 5), 0);
+      task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
       task.crashes = crashes;
       task.copy();
       Job next = job();
       ProgressText.restore(next, ProgressText.write(job));
       Task restored = next.tasks().findFirst().orElseThrow();
-      assertTrue(restored.copied);
+      assertTrue(restored.duplicateStartPossible);
       assertEquals(restored.worker, task.worker);
       assertEquals(restored.crashes, crashes);
     }
@@ -103,7 +103,7 @@
     public void writesCopiesAsSignOfLife() {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      task.place(new WorkerLife(new WorkerId("w"), 5), 0);
+      task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w  5");
       task.copy();
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w  +5");
@@ -119,7 +119,10 @@
     @Test
     public void writesWhatEarlierVersionsReadWhereNothingCrashed() {
       Job job = job();
-      job.tasks().findFirst().orElseThrow().place(WorkerLife.only(new WorkerId("w")), 0);
+      job.tasks()
+          .findFirst()
+          .orElseThrow()
+          .place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 0);
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w ");
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/Replay.java
+++ b/core/src/test/java/org/cottontack/core/job/Replay.java
@@ -134,10 +134,11 @@
             .map(w -> w.info.id())
             .toList();
     lost.forEach(workers::remove);
-    lost.forEach(id -> post(new JobEvent.WorkerUnlisted(WorkerLife.only(id))));
+    lost.forEach(
+        id -> post(new JobEvent.WorkerUnlisted(WorkerIncarnation.withUniqueIdentifier(id))));
   }
 
-  private void toWorker(WorkerLife life, Consumer<ReplayWorker> order) {
+  private void toWorker(WorkerIncarnation life, Consumer<ReplayWorker> order) {
     after(TRIP_MILLIS, () -> Optional.ofNullable(workers.get(life.worker())).ifPresent(order));
   }
 
@@ -172,7 +173,7 @@
   private void post(JobScheduler to, JobEvent event) {
     if (to != null && to == leader) {
       long began = System.nanoTime();
-      List<JobEffect> effects = to.take(moment(), event);
+      List<JobEffect> effects = to.handle(moment(), event);
       deciding += System.nanoTime() - began;
       effects.forEach(this::carryOut);
       dirty = true;
@@ -219,15 +220,17 @@
       after(TRIP_MILLIS, () -> start(from, start));
     } else if (effect instanceof JobEffect.StopRun stop) {
       moves++;
-      toWorker(stop.target().life(), worker -> worker.stop(stop.run()));
+      toWorker(stop.target().incarnation(), worker -> worker.stop(stop.run()));
       after(
           2 * TRIP_MILLIS,
-          () -> post(from, new JobEvent.StopEnded(stop.target().life(), stop.run(), true)));
+          () -> post(from, new JobEvent.StopEnded(stop.target().incarnation(), stop.run(), true)));
     } else if (effect instanceof JobEffect.PaceRun pace) {
       paces++;
       after(
           100,
-          () -> toWorker(pace.target().life(), worker -> worker.pace(pace.run(), pace.percent())));
+          () ->
+              toWorker(
+                  pace.target().incarnation(), worker -> worker.pace(pace.run(), pace.percent())));
     } else if (effect instanceof JobEffect.LookAtWorker look) {
       long sent = now;
       after(TRIP_MILLIS, () -> look(from, look, sent, now + look.waitMillis()));
@@ -260,7 +263,7 @@
     StepSpec spec = arrival.job().steps().get(task.step().step());
     double work = arrival.workMillis().get(task.step().step())[task.index()];
     double done = order.checkpoint().isEmpty() ? 0 : Double.parseDouble(order.checkpoint());
-    ReplayWorker worker = workers.get(order.target().life().worker());
+    ReplayWorker worker = workers.get(order.target().incarnation().worker());
     if (worker == null) {
       return;
     }
@@ -277,30 +280,32 @@
         () ->
             post(
                 from,
-                new JobEvent.StartEnded(order.target().life(), order.run(), StartResult.STARTED)));
+                new JobEvent.StartEnded(
+                    order.target().incarnation(), order.run(), StartResult.STARTED)));
   }
 
   private void look(JobScheduler from, JobEffect.LookAtWorker look, long sent, long until) {
-    ReplayWorker worker = workers.get(look.target().life().worker());
+    ReplayWorker worker = workers.get(look.target().incarnation().worker());
     if (worker == null) {
-      after(SILENCE_MILLIS, () -> post(from, new JobEvent.WorkerSilent(look.target().life())));
+      after(
+          SILENCE_MILLIS, () -> post(from, new JobEvent.WorkerSilent(look.target().incarnation())));
       return;
     }
     WorkerReport report = worker.report(look.acknowledged(), now);
-    if (report.ended().isEmpty() && now < until) {
+    if (report.completions().isEmpty() && now < until) {
       after(STEP_MILLIS, () -> look(from, look, sent, until));
       return;
     }
     after(
         TRIP_MILLIS,
-        () -> post(from, new JobEvent.WorkerReported(look.target().life(), sent, report)));
+        () -> post(from, new JobEvent.WorkerReported(look.target().incarnation(), sent, report)));
   }
 
   private void watch() {
     steps++;
     int owed =
         known.values().stream()
-            .filter(arrival -> arrival.job().lasts())
+            .filter(arrival -> arrival.job().isLongRunning())
             .mapToInt(arrival -> arrival.job().steps().get(0).count())
             .sum();
     served += owed;
--- a/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
@@ -108,7 +108,7 @@
   double wasted;
 
   private final ReplayLoad load;
-  private final List<WorkerReport.Ended> ended = new ArrayList<>();
+  private final List<WorkerReport.Completion> ended = new ArrayList<>();
   private final Random noise = new Random(5);
   private long ends;
 
@@ -116,7 +116,7 @@
     this.load = load;
     this.info =
         new WorkerInfo(
-            WorkerLife.only(new WorkerId(id)),
+            WorkerIncarnation.withUniqueIdentifier(new WorkerId(id)),
             "pool",
             id + ":1",
             new DataCentreId(dataCentre),
@@ -135,7 +135,7 @@
       run.stopped = true;
       double kept = run.checkpoint().isEmpty() ? 0 : Double.parseDouble(run.checkpoint());
       wasted += (run.doneMillis - kept) * run.spec.need().cpuMillis();
-      end(run, WorkerReport.End.STOPPED);
+      end(run, WorkerReport.CompletionStatus.STOPPED);
     }
   }
 
@@ -146,9 +146,10 @@
     }
   }
 
-  private void end(Running run, WorkerReport.End how) {
+  private void end(Running run, WorkerReport.CompletionStatus how) {
     ends++;
-    ended.add(new WorkerReport.Ended(ends, run.run.task(), run.run.run(), how, run.checkpoint()));
+    ended.add(
+        new WorkerReport.Completion(ends, run.run.task(), run.run.run(), how, run.checkpoint()));
   }
 
   boolean hasEnds() {
@@ -168,7 +169,7 @@
                         progress(run, now),
                         run.spec.serves() ? Math.round(rough(run.mean())) : run.mean()))
             .toList();
-    return new WorkerReport(WorkerLife.UNSTATED, now, list, ended);
+    return new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, now, list, ended);
   }
 
   private double rough(double tail) {
@@ -198,7 +199,7 @@
         .forEach(
             run -> {
               running.remove(run.run);
-              end(run, WorkerReport.End.DONE);
+              end(run, WorkerReport.CompletionStatus.DONE);
             });
     if (failsAll) {
       fail(now);
@@ -213,7 +214,7 @@
             run -> {
               running.remove(run.run);
               wasted += run.doneMillis * run.spec.need().cpuMillis();
-              end(run, WorkerReport.End.FAILED);
+              end(run, WorkerReport.CompletionStatus.FAILED);
             });
   }
 
--- a/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
@@ -23,7 +23,7 @@
 /** Tests of decisions about workers that crash and start again under the identifier they had. */
 public class RestartedWorkerTest {
 
-  private static LabWorker worker(JobLab lab, int number) {
+  private static SimulatedWorker worker(JobSimulation lab, int number) {
     return lab.workers.values().stream().skip(number).findFirst().orElseThrow();
   }
 
@@ -33,7 +33,7 @@
     /** Guards against ends of a new life that are passed over and acknowledged by old numbers. */
     @Test
     public void startsNothingAgainThatEndedAfterRestart() {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       final List<JobSpec> before = submit(lab, "before", 6);
       lab.run(6_000);
       final List<JobSpec> interrupted = submit(lab, "interrupted", 1);
@@ -50,7 +50,7 @@
     /** Guards against a stale entry that hides a restart which only answers tell. */
     @Test
     public void startsNothingAgainWhereOnlyAnswersTellOfRestart() {
-      JobLab lab = returningFleet(2);
+      JobSimulation lab = returningFleet(2);
       submit(lab, "before", 6);
       lab.run(6_000);
       lab.listsTheDead = true;
@@ -64,7 +64,7 @@
     /** Guards against a second run of what was ordered before and runs on the next life. */
     @Test
     public void startsNothingAnewThatNextLifeRuns() {
-      JobLab lab = returningFleet(2);
+      JobSimulation lab = returningFleet(2);
       lab.run(1_000);
       lab.listsTheDead = true;
       lab.crash(worker(lab, 0));
@@ -79,7 +79,7 @@
     /** Guards against a save, begun before a restart, that acknowledges ends of the next life. */
     @Test
     public void acknowledgesNothingOfNextLifeWithSaveOfTheLast() {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       submit(lab, "before", 6);
       lab.run(450);
       lab.storeAway = true;
@@ -95,7 +95,7 @@
     /** Guards against the same where the next life has ended something in the meantime. */
     @Test
     public void acknowledgesNoOtherEndsOfNextLifeWithSaveOfTheLast() {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       lab.listsTheDead = true;
       final List<JobSpec> before = submit(lab, "before", 1);
       lab.run(150);
@@ -118,7 +118,7 @@
     /** Guards against a lasting task that stays away after it was stopped on a restarted worker. */
     @Test
     public void movesLastingTaskOffRestartedWorkerThatDrains() {
-      JobLab lab = returningFleet(2);
+      JobSimulation lab = returningFleet(2);
       lab.longestWaitMillis = 1_000;
       submit(lab, "before", 6);
       lab.run(6_000);
@@ -128,11 +128,11 @@
       JobSpec lasting = job("lasting", step(2, 5, List.of(), StepSpec.Trait.LASTS));
       lab.submit(lasting);
       lab.run(500);
-      LabWorker third = new LabWorker("w2", 8);
+      SimulatedWorker third = new SimulatedWorker("w2", 8);
       lab.workers.put(third.info.id(), third);
       lab.post(new JobEvent.WorkerSeen(third.info));
       lab.run(200);
-      lab.post(JobLab.draining(worker(lab, 0)));
+      lab.post(JobSimulation.draining(worker(lab, 0)));
       lab.run(2_500);
       long running = lab.workers.values().stream().mapToLong(w -> w.runs().size()).sum();
       assertEquals(running, 2);
@@ -151,7 +151,7 @@
     /** Guards against a start that runs on the next life while its task runs elsewhere. */
     @Test(dataProvider = "delays")
     public void runsNoTaskTwiceWhereNextLifeGetsItsStart(long delay) {
-      JobLab lab = returningFleet(2);
+      JobSimulation lab = returningFleet(2);
       submit(lab, "before", 6);
       lab.run(6_000);
       lab.workMillis = 9_000;
@@ -167,7 +167,7 @@
     /** Guards against an acknowledgement that reaches the next life late and drops its ends. */
     @Test(dataProvider = "delays")
     public void losesNoEndWhereNextLifeGetsLateAcknowledgement(long delay) {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       submit(lab, "before", 6);
       lab.run(1_000);
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? delay : 0;
@@ -190,7 +190,7 @@
      */
     @Test
     public void runsNoTaskTwiceWhereSecondNextLifeGetsItsStart() {
-      JobLab lab = returningFleet(2);
+      JobSimulation lab = returningFleet(2);
       lab.listsTheDead = true;
       lab.workMillis = 9_000;
       lab.run(1_000);
@@ -208,7 +208,7 @@
     /** Guards against a late copy of a start that the next life carries out for a task done. */
     @Test
     public void runsNothingDoneWhereNextLifeGetsCopyOfStart() {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       lab.listsTheDead = true;
       lab.run(1_000);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 3_700 : 0;
@@ -224,7 +224,7 @@
     /** Guards against an acknowledgement that makes the next life drop ends it has yet to list. */
     @Test
     public void losesNoEndWhereAcknowledgementComesBeforeLeader() {
-      JobLab lab = returningFleet(1);
+      JobSimulation lab = returningFleet(1);
       lab.listsTheDead = true;
       submit(lab, "before", 3);
       lab.delay =
@@ -246,7 +246,7 @@
     private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
     private static final int MOST_STARTS = 5;
 
-    private static void assertGivenUp(JobLab lab) {
+    private static void assertGivenUp(JobSimulation lab) {
       assertTrue(lab.startsOf(FATAL) <= MOST_STARTS, "starts: " + lab.startsOf(FATAL));
       assertEquals(lab.phase(FATAL.job()), JobPhase.FAILED);
     }
@@ -254,7 +254,7 @@
     /** Guards against a task that crashes one restarted worker after the other without end. */
     @Test
     public void givesUpTaskThatCrashesWorkersWhichKeepTheirIds() {
-      JobLab lab = returningFleet(4);
+      JobSimulation lab = returningFleet(4);
       lab.fatal.put(FATAL, 10L);
       lab.submit(job("bad", step(2, 2, List.of())));
       lab.run(40_000);
@@ -264,7 +264,7 @@
     /** Guards against crashes that no leader saw since worker and leader are lost together. */
     @Test
     public void countsRestartsBetweenTwoLeaders() {
-      JobLab lab = returningFleet(4);
+      JobSimulation lab = returningFleet(4);
       lab.fatal.put(FATAL, 10L);
       lab.submit(job("bad", step(1, 2, List.of())));
       for (int i = 0; i < 8; i++) {
@@ -345,7 +345,7 @@
           : bars ? 1_000 + random.nextInt(LATEST_MILLIS - 1_000) : 0;
     }
 
-    private static void disturb(JobLab lab, Random random) {
+    private static void disturb(JobSimulation lab, Random random) {
       lab.listsTheDead = random.nextBoolean();
       if (random.nextInt(3) == 0) {
         crashSettled(lab, random);
@@ -355,7 +355,7 @@
       }
     }
 
-    private static void disturbLeaderAfterCrash(JobLab lab, Random random) {
+    private static void disturbLeaderAfterCrash(JobSimulation lab, Random random) {
       lab.listsTheDead = random.nextBoolean();
       if (random.nextInt(3) == 0) {
         crashSettled(lab, random);
@@ -366,7 +366,7 @@
       }
     }
 
-    private static void disturbInPairs(JobLab lab, Random random) {
+    private static void disturbInPairs(JobSimulation lab, Random random) {
       lab.listsTheDead = random.nextBoolean();
       crashSettled(lab, random);
       crashSettled(lab, random);
@@ -375,8 +375,8 @@
       }
     }
 
-    private static void crashSettled(JobLab lab, Random random) {
-      List<LabWorker> settled =
+    private static void crashSettled(JobSimulation lab, Random random) {
+      List<SimulatedWorker> settled =
           lab.workers.values().stream()
               .filter(worker -> !worker.dead && worker.ageMillis(lab.now) > LATEST_MILLIS)
               .toList();
@@ -385,7 +385,7 @@
       }
     }
 
-    private static void changeLeader(JobLab lab) {
+    private static void changeLeader(JobSimulation lab) {
       lab.leaderDies();
       lab.run(2_500);
       lab.takeOver();
@@ -416,7 +416,7 @@
     }
 
     /** Jobs are complete, but for those that were given up since workers crashed under them. */
-    private static void assertEnded(JobLab lab) {
+    private static void assertEnded(JobSimulation lab) {
       Set<String> givenUp =
           lab.seen.stream()
               .filter(JobEffect.Note.class::isInstance)
@@ -434,16 +434,16 @@
                       job.value()));
     }
 
-    private static void assertComplete(JobLab lab) {
+    private static void assertComplete(JobSimulation lab) {
       JobFixtures.assertComplete(lab, List.copyOf(lab.specs.values()));
     }
 
-    private static JobLab play(
+    private static JobSimulation play(
         int seed,
         ToLongBiFunction<JobEffect, Random> lateness,
-        BiConsumer<JobLab, Random> disturb) {
+        BiConsumer<JobSimulation, Random> disturb) {
       Random random = new Random(seed);
-      JobLab lab = returningFleet(12);
+      JobSimulation lab = returningFleet(12);
       lab.run(LATEST_MILLIS);
       lab.delay = effect -> lateness.applyAsLong(effect, random);
       List<JobSpec> jobs =
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -25,14 +25,15 @@
     }
 
     /** Runs one serving task of an image for each id. */
-    private static void serve(JobLab lab, long workMillis, String... ids) {
+    private static void serve(JobSimulation lab, long workMillis, String... ids) {
       lab.workMillis = workMillis;
       List.of(ids).forEach(id -> lab.submit(serving(id, "web")));
       lab.run(300);
     }
 
     /** Has a task that fills work at 4 cores while the tail of the serving task s is as given. */
-    private static void harm(JobLab lab, LabWorker worker, JobSpec filling, double tail) {
+    private static void harm(
+        JobSimulation lab, SimulatedWorker worker, JobSpec filling, double tail) {
       lab.submit(filling);
       worker.loads.put("s", tail);
       worker.loads.put(filling.id().value(), 4_000.0);
@@ -41,7 +42,7 @@
     /**
      * Lets time pass in which the tail of s is high while f1 works beside it, and low otherwise.
      */
-    private static void harmWhileBeside(JobLab lab, LabWorker worker, long millis) {
+    private static void harmWhileBeside(JobSimulation lab, SimulatedWorker worker, long millis) {
       for (long passed = 0; passed < millis; passed += 50) {
         worker.loads.put("s", worker.runs(TaskName.parse("f1.0.0.0")) ? 180.0 : 5.0);
         lab.run(50);
@@ -54,8 +55,8 @@
      */
     @Test
     public void haltsWhatPushesTailsOverItsBound() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_500);
@@ -70,8 +71,8 @@
      */
     @Test
     public void oneMilderReportEndsNoAlarm() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       lab.submit(filling("f", "batch"));
       worker.loads.put("f", 0.1);
@@ -92,8 +93,8 @@
      */
     @Test
     public void nothingJoinsBesideTailOverItsBound() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       worker.loads.put("s", 18.5);
       lab.run(1_200);
@@ -111,13 +112,15 @@
      */
     @Test
     public void ordersThePaceAgainWhenTheAnswerIsLost() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(500);
       long before = lab.paces("f.0.0.0");
-      lab.post(new JobEvent.PaceLost(worker.info.life(), new RunKey(TaskName.parse("f.0.0.0"), 1)));
+      lab.post(
+          new JobEvent.PaceLost(
+              worker.info.incarnation(), new RunKey(TaskName.parse("f.0.0.0"), 1)));
       lab.run(1_000);
       assertTrue(lab.paces("f.0.0.0") > before, "orders: " + lab.paces("f.0.0.0"));
     }
@@ -128,8 +131,8 @@
      */
     @Test
     public void givesPaceBackAfterTakeover() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_000);
@@ -146,8 +149,8 @@
      */
     @Test
     public void givesPaceBackWhenNothingServesAnyMore() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_500);
@@ -163,8 +166,8 @@
      */
     @Test
     public void stopsWhatIsHaltedThoughNothingElseHasRoom() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 60_000, "s");
       lab.submit(
           job(
@@ -192,9 +195,9 @@
 
     @Test
     public void packsServingTasksOfOneImage() {
-      LabWorker first = new LabWorker("w1", 16);
-      LabWorker second = new LabWorker("w2", 16);
-      JobLab lab = lab(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 16);
+      SimulatedWorker second = new SimulatedWorker("w2", 16);
+      JobSimulation lab = lab(first, second);
       lab.workMillis = 60_000;
       lab.submit(serving("s1", "web"));
       lab.run(200);
@@ -202,7 +205,7 @@
       lab.run(200);
       lab.submit(serving("s3", "web"));
       lab.run(200);
-      LabWorker web = first.runs(TaskName.parse("s1.0.0.0")) ? first : second;
+      SimulatedWorker web = first.runs(TaskName.parse("s1.0.0.0")) ? first : second;
       assertTrue(web.runs(TaskName.parse("s3.0.0.0")));
       assertFalse(web.runs(TaskName.parse("s2.0.0.0")));
     }
@@ -213,8 +216,8 @@
      */
     @Test
     public void harmfulImagesRunWhereMostIsFree() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 3_000, "s");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       lab.run(3_500);
@@ -230,8 +233,8 @@
      */
     @Test
     public void anotherIdlePoolMakesNoRoom() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker, new LabWorker("x1", 99, "x1:1", "dc", "other"));
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
       serve(lab, 3_000, "s", "t", "u");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       harmWhileBeside(lab, worker, 3_500);
@@ -247,8 +250,8 @@
      */
     @Test
     public void keepsPairsApartOnceKnownToHurt() {
-      LabWorker worker = new LabWorker("w1", 16);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(worker);
       serve(lab, 3_000, "s", "t", "u");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       harmWhileBeside(lab, worker, 3_500);
--- a/core/src/test/java/org/cottontack/core/job/ShortRoomTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of the room that new services leave to short tasks. */
-public class ShortRoomTest {
+public class ShortTaskReserveTest {
 
   private static final int WORKERS = 4;
   private static final int CORES = 16;
@@ -20,18 +20,18 @@
     return job(id, step(count, cores, List.of(), 0, "web", 18, StepSpec.Trait.LASTS));
   }
 
-  private static JobLab fleet() {
+  private static JobSimulation fleet() {
     return lab(
         IntStream.range(0, WORKERS)
-            .mapToObj(number -> new LabWorker("w" + number, CORES))
-            .toArray(LabWorker[]::new));
+            .mapToObj(number -> new SimulatedWorker("w" + number, CORES))
+            .toArray(SimulatedWorker[]::new));
   }
 
-  private static long running(JobLab lab, String id) {
+  private static long running(JobSimulation lab, String id) {
     return lab.workers.values().stream().mapToLong(worker -> running(worker, id)).sum();
   }
 
-  private static long running(LabWorker worker, String id) {
+  private static long running(SimulatedWorker worker, String id) {
     return IntStream.range(0, WORKERS * CORES)
         .mapToObj(index -> TaskName.parse(id + ".0.0." + index))
         .filter(worker::runs)
@@ -39,8 +39,8 @@
   }
 
   /** Services hold 48 of 64 cores; short tasks then held the other 16 a moment ago. */
-  private static JobLab busy() {
-    JobLab lab = fleet();
+  private static JobSimulation busy() {
+    JobSimulation lab = fleet();
     lab.workMillis = 300_000;
     lab.submit(service("old", 12, 4));
     lab.run(500);
@@ -59,7 +59,7 @@
      */
     @Test
     public void waitsWhileShortTasksNeedTheRoom() {
-      JobLab lab = busy();
+      JobSimulation lab = busy();
       lab.workMillis = 300_000;
       lab.submit(service("new", 4, 4));
       lab.run(5_000);
@@ -73,7 +73,7 @@
     /** Short tasks no longer come: their last peak is forgotten, and the service begins. */
     @Test
     public void beginsOnceThePeakIsForgotten() {
-      JobLab lab = busy();
+      JobSimulation lab = busy();
       lab.workMillis = 300_000;
       lab.submit(service("new", 1, 4));
       lab.run(12_000);
@@ -86,7 +86,7 @@
      */
     @Test
     public void beginsWhereLittleIsReserved() {
-      JobLab lab = fleet();
+      JobSimulation lab = fleet();
       lab.submit(job("short", step(16, 4, List.of())));
       lab.run(1_500);
       lab.workMillis = 300_000;
@@ -105,8 +105,8 @@
      */
     @Test
     public void returnsThoughShortTasksNeedTheRoom() {
-      JobLab lab = busy();
-      LabWorker lost =
+      JobSimulation lab = busy();
+      SimulatedWorker lost =
           lab.workers.values().stream()
               .filter(worker -> running(worker, "old") > 0)
               .findFirst()
@@ -114,7 +114,7 @@
       lab.workMillis = 300_000;
       final long before = running(lab, "old");
       lost.dead = true;
-      lab.post(new JobEvent.WorkerUnlisted(lost.info.life()));
+      lab.post(new JobEvent.WorkerUnlisted(lost.info.incarnation()));
       lab.run(12_000);
       assertEquals(running(lab, "old") - running(lost, "old"), before);
     }
--- a/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
@@ -16,10 +16,10 @@
 
     private static final TaskName SECOND = TaskName.parse("b.0.0.0");
 
-    private static WorkerInfo resized(LabWorker worker, long cores) {
+    private static WorkerInfo resized(SimulatedWorker worker, long cores) {
       WorkerInfo info = worker.info;
       return new WorkerInfo(
-          info.life(),
+          info.incarnation(),
           info.pool(),
           info.address(),
           info.dataCentre(),
@@ -29,8 +29,8 @@
     }
 
     /** Returns a lab whose only worker runs a task of three of its eight cores. */
-    private static JobLab busy(LabWorker worker) {
-      JobLab lab = lab(worker);
+    private static JobSimulation busy(SimulatedWorker worker) {
+      JobSimulation lab = lab(worker);
       lab.workMillis = 4_000;
       lab.submit(job("a", step(1, 3, List.of())));
       lab.run(500);
@@ -44,8 +44,8 @@
     /** Guards against starts beyond what a worker has left. */
     @Test
     public void startsNothingBeyondWhatIsLeft() {
-      LabWorker worker = new LabWorker("w", 8);
-      JobLab lab = busy(worker);
+      SimulatedWorker worker = new SimulatedWorker("w", 8);
+      JobSimulation lab = busy(worker);
       lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
       lab.submit(second());
       lab.run(2_000);
@@ -60,8 +60,8 @@
      */
     @Test
     public void startsNothingThatWaitedForTheStore() {
-      LabWorker worker = new LabWorker("w", 8);
-      JobLab lab = busy(worker);
+      SimulatedWorker worker = new SimulatedWorker("w", 8);
+      JobSimulation lab = busy(worker);
       lab.storeAway = true;
       lab.submit(second());
       lab.run(200);
@@ -74,8 +74,8 @@
     /** Guards against an order that is sent again after its worker shrank. */
     @Test
     public void repeatsNoOrderBeyondWhatIsLeft() {
-      LabWorker worker = new LabWorker("w", 8);
-      JobLab lab = busy(worker);
+      SimulatedWorker worker = new SimulatedWorker("w", 8);
+      JobSimulation lab = busy(worker);
       lab.delay =
           effect ->
               effect instanceof JobEffect.StartRun start && start.run().task().equals(SECOND)
--- a/core/src/test/java/org/cottontack/core/job/LabWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -13,7 +13,7 @@
 /**
  * A worker in virtual time: keeps fencing tokens, leases, ends, and bars runs that it has stopped.
  */
-final class LabWorker {
+final class SimulatedWorker {
 
   /** Longest lease, in milliseconds; a longer one is shortened to it. */
   private static final long LONGEST_LEASE_MILLIS = 10_000;
@@ -48,7 +48,7 @@
 
   private final Map<RunKey, Held> running = new HashMap<>();
   private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final List<WorkerReport.Ended> ended = new ArrayList<>();
+  private final List<WorkerReport.Completion> ended = new ArrayList<>();
   private long ends;
   private long acknowledged;
   private long leaseEndMillis;
@@ -60,28 +60,28 @@
   /** Tasks whose end as done was acknowledged. */
   final Set<TaskName> acknowledgedDone = new HashSet<>();
 
-  LabWorker(String id, long cores) {
+  SimulatedWorker(String id, long cores) {
     this(id, cores, id + ":1");
   }
 
-  LabWorker(String id, long cores, String address) {
+  SimulatedWorker(String id, long cores, String address) {
     this(id, cores, address, "dc");
   }
 
-  LabWorker(String id, long cores, String address, String dataCentre) {
+  SimulatedWorker(String id, long cores, String address, String dataCentre) {
     this(id, cores, address, dataCentre, "pool");
   }
 
-  LabWorker(String id, long cores, String address, String dataCentre, String pool) {
+  SimulatedWorker(String id, long cores, String address, String dataCentre, String pool) {
     this(id, cores, address, dataCentre, pool, 0);
   }
 
-  private LabWorker(
+  private SimulatedWorker(
       String id, long cores, String address, String dataCentre, String pool, long bornMillis) {
     this.bornMillis = bornMillis;
     this.info =
         new WorkerInfo(
-            new WorkerLife(new WorkerId(id), bornMillis + 1),
+            new WorkerIncarnation(new WorkerId(id), bornMillis + 1),
             pool,
             address,
             new DataCentreId(dataCentre),
@@ -91,9 +91,10 @@
   }
 
   /** Returns the worker that comes at this one's address after a crash. */
-  LabWorker nextLife(String id, long now) {
+  SimulatedWorker nextLife(String id, long now) {
     long cores = info.capacity().cpuMillis() / 1_000;
-    return new LabWorker(id, cores, info.address(), info.dataCentre().value(), info.pool(), now);
+    return new SimulatedWorker(
+        id, cores, info.address(), info.dataCentre().value(), info.pool(), now);
   }
 
   /** Carries out an order to start; the run is done after the given time, or fails if negative. */
@@ -123,7 +124,7 @@
     }
     barred.merge(run.task(), run.run(), Math::max);
     if (running.remove(run) != null) {
-      end(run, WorkerReport.End.STOPPED);
+      end(run, WorkerReport.CompletionStatus.STOPPED);
     }
   }
 
@@ -134,7 +135,9 @@
       acknowledged = Math.max(acknowledged, look.acknowledged());
     }
     ended.stream()
-        .filter(end -> end.number() <= acknowledged && end.how() == WorkerReport.End.DONE)
+        .filter(
+            end ->
+                end.number() <= acknowledged && end.status() == WorkerReport.CompletionStatus.DONE)
         .forEach(end -> acknowledgedDone.add(end.task()));
     ended.removeIf(end -> end.number() <= acknowledged);
     List<WorkerReport.Running> list =
@@ -143,7 +146,7 @@
                 run ->
                     new WorkerReport.Running(run.task(), run.run(), "", progress(now), load(run)))
             .toList();
-    return new WorkerReport(info.life().bornMillis(), clock(now), list, ended);
+    return new WorkerReport(info.incarnation().startTimeMillis(), clock(now), list, ended);
   }
 
   long ageMillis(long now) {
@@ -178,8 +181,9 @@
           if (lapsed || (!stalls && now >= run.doneMillis)) {
             running.remove(run.run);
             barred.merge(run.run.task(), run.run.run(), Math::max);
-            WorkerReport.End how = lapsed ? WorkerReport.End.LAPSED : outcome(fails || failsAll);
-            if (how == WorkerReport.End.DONE) {
+            WorkerReport.CompletionStatus how =
+                lapsed ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
+            if (how == WorkerReport.CompletionStatus.DONE) {
               done.add(run.run);
             }
             end(run.run, how);
@@ -187,16 +191,16 @@
         });
   }
 
-  private static WorkerReport.End outcome(boolean fails) {
-    return fails ? WorkerReport.End.FAILED : WorkerReport.End.DONE;
+  private static WorkerReport.CompletionStatus outcome(boolean fails) {
+    return fails ? WorkerReport.CompletionStatus.FAILED : WorkerReport.CompletionStatus.DONE;
   }
 
-  private void end(RunKey run, WorkerReport.End how) {
+  private void end(RunKey run, WorkerReport.CompletionStatus how) {
     ends++;
     if (listsNoEnds) {
       return;
     }
-    ended.add(new WorkerReport.Ended(ends, run.task(), run.run(), how, ""));
+    ended.add(new WorkerReport.Completion(ends, run.task(), run.run(), how, ""));
   }
 
   boolean runs(TaskName task) {
--- a/core/src/test/java/org/cottontack/core/job/LabPromises.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
@@ -5,11 +5,11 @@
 import java.util.stream.Collectors;
 
 /** What has to hold in a lab at every moment, whatever goes wrong there. */
-final class LabPromises {
+final class SimulationInvariants {
 
-  private final JobLab lab;
+  private final JobSimulation lab;
 
-  LabPromises(JobLab lab) {
+  SimulationInvariants(JobSimulation lab) {
     this.lab = lab;
   }
 
@@ -30,7 +30,7 @@
             throw broken(task + " runs after its acknowledged end");
           }
         });
-    for (LabWorker worker : lab.workers.values()) {
+    for (SimulatedWorker worker : lab.workers.values()) {
       if (!worker.info.capacity().holds(worker.used())) {
         throw broken(worker.info.id() + " holds too much");
       }
@@ -48,7 +48,7 @@
     if (progress.lines().noneMatch(stored -> stored.startsWith(line))) {
       throw broken(start.run() + " starts before it is stored");
     }
-    LabWorker worker = lab.workers.get(start.target().life().worker());
+    SimulatedWorker worker = lab.workers.get(start.target().incarnation().worker());
     if (lab.evacuated.contains(worker.info.dataCentre())) {
       throw broken(start.run() + " goes to an evacuated data centre");
     }
--- a/core/src/test/java/org/cottontack/core/job/HiddenEndsEntriesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
@@ -16,15 +16,15 @@
 import org.testng.annotations.Test;
 
 /** Tests of late acknowledgements where entries of workers are lost or out of date. */
-public class HiddenEndsEntriesTest {
+public class SuppressedCompletionsEntriesTest {
 
   /** How long before a late look a worker is back: too short for its leader to ask it. */
   private static final long BACK_BEFORE_MILLIS = 20;
 
   private static final WorkerId FIRST = new WorkerId("w0");
 
-  private static JobLab fleet(int workers) {
-    JobLab lab = returningFleet(workers);
+  private static JobSimulation fleet(int workers) {
+    JobSimulation lab = returningFleet(workers);
     lab.listsTheDead = true;
     lab.run(1_000);
     return lab;
@@ -33,14 +33,14 @@
   private static boolean acknowledges(JobEffect effect) {
     return effect instanceof JobEffect.LookAtWorker look
         && look.acknowledged() > 0
-        && look.target().life().worker().equals(FIRST);
+        && look.target().incarnation().worker().equals(FIRST);
   }
 
-  private static LabWorker first(JobLab lab) {
+  private static SimulatedWorker first(JobSimulation lab) {
     return lab.workers.get(FIRST);
   }
 
-  private static void until(JobLab lab, long millis) {
+  private static void until(JobSimulation lab, long millis) {
     lab.run(Math.max(0, millis - lab.now));
   }
 
@@ -49,11 +49,11 @@
    *
    * @return when it arrives
    */
-  private static long acknowledgeLate(JobLab lab, long delay) {
+  private static long acknowledgeLate(JobSimulation lab, long delay) {
     int from = lab.seen.size();
     lab.delay = effect -> acknowledges(effect) ? delay : 0;
     final long latest = lab.now + 60_000;
-    while (lab.seen.stream().skip(from).noneMatch(HiddenEndsEntriesTest::acknowledges)) {
+    while (lab.seen.stream().skip(from).noneMatch(SuppressedCompletionsEntriesTest::acknowledges)) {
       assertTrue(lab.now < latest, "no end is acknowledged");
       lab.run(10);
     }
@@ -64,7 +64,7 @@
   }
 
   /** Crashes the first worker so that its next life is there when the acknowledgement arrives. */
-  private static void reachNextLife(JobLab lab, long arrives) {
+  private static void reachNextLife(JobSimulation lab, long arrives) {
     until(lab, arrives - BACK_BEFORE_MILLIS - RESTART_MILLIS);
     lab.crash(first(lab));
     until(lab, arrives);
@@ -92,12 +92,12 @@
       return product(steps(12_500, 16_000, 500), 50, 150, 250, 350);
     }
 
-    private static void away(JobLab lab, long away, long lead) {
-      LabWorker gone = first(lab);
+    private static void away(JobSimulation lab, long away, long lead) {
+      SimulatedWorker gone = first(lab);
       lab.listsTheDead = false;
       lab.restartMillis = away;
       lab.crash(gone);
-      lab.post(new JobEvent.WorkerUnlisted(gone.info.life()));
+      lab.post(new JobEvent.WorkerUnlisted(gone.info.incarnation()));
       lab.run(away - lead);
       submit(lab, "other", 1);
       lab.run(lead + 20);
@@ -105,7 +105,7 @@
       lab.listsTheDead = true;
     }
 
-    private static void assertKnownToNextLeader(JobLab lab, String jobs) {
+    private static void assertKnownToNextLeader(JobSimulation lab, String jobs) {
       final List<JobSpec> last = submit(lab, jobs, 4);
       final long arrives = acknowledgeLate(lab, 5_000);
       lab.leaderDies();
@@ -122,7 +122,7 @@
     /** Guards against a life that is no longer stored when ends are acknowledged to it again. */
     @Test(dataProvider = "absences")
     public void storesLifeAnewThatWasAway(long away, long lead) {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       submit(lab, "before", 4);
       lab.run(5_000);
       away(lab, away, lead);
@@ -132,7 +132,7 @@
     /** Guards against the same where an earlier leader has stored the life before. */
     @Test(dataProvider = "absences")
     public void storesInheritedLifeAnewThatWasAway(long away, long lead) {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       submit(lab, "before", 4);
       lab.run(5_000);
       lab.leaderDies();
@@ -146,14 +146,14 @@
     /** Guards against the same with a worker that was cut off and comes back as the same life. */
     @Test(dataProvider = "absences")
     public void storesLifeAnewThatWasNotListed(long away, long lead) {
-      JobLab lab = fleet(2);
+      JobSimulation lab = fleet(2);
       submit(lab, "before", 4);
       lab.run(5_000);
       lab.leaderDies();
       lab.run(1_000);
       lab.takeOver();
       lab.run(100);
-      lab.post(new JobEvent.WorkerUnlisted(first(lab).info.life()));
+      lab.post(new JobEvent.WorkerUnlisted(first(lab).info.incarnation()));
       lab.run(away - lead);
       submit(lab, "other", 1);
       lab.run(lead);
@@ -170,7 +170,7 @@
     /** Guards against acknowledgements to a life that found no place in what is stored. */
     @Test(dataProvider = "lives")
     public void acknowledgesNothingToLifeThatIsNotStored(int lives) {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       String many =
           IntStream.range(0, lives)
               .mapToObj(i -> "acknowledged other-worker-" + i + " 1700000000000")
@@ -191,15 +191,15 @@
       return product(LongStream.of(3_000, 8_000), steps(0, 1_000, 50).toArray());
     }
 
-    private static long noted(JobLab lab, String name) {
+    private static long noted(JobSimulation lab, String name) {
       return lab.seen.stream()
           .filter(effect -> effect instanceof JobEffect.Note note && note.name().equals(name))
           .count();
     }
 
     /** Returns a lab whose leader has marked a life for what a former one sent. */
-    private static JobLab marked(long delay) {
-      JobLab lab = fleet(1);
+    private static JobSimulation marked(long delay) {
+      JobSimulation lab = fleet(1);
       submit(lab, "before", 2);
       final long arrives = acknowledgeLate(lab, delay);
       lab.leaderDies();
@@ -210,7 +210,7 @@
       return lab;
     }
 
-    private static void assertDoneOnce(JobLab lab) {
+    private static void assertDoneOnce(JobSimulation lab) {
       final List<JobSpec> after = submit(lab, "after", 4);
       lab.run(40_000);
       assertComplete(lab, after);
@@ -219,10 +219,10 @@
     /** Guards against a mark that is lost where the entry of the life before comes again. */
     @Test(dataProvider = "moments")
     public void keepsInheritedMarkWhereOldEntryComesAgain(long delay, long moment) {
-      JobLab lab = marked(delay);
+      JobSimulation lab = marked(delay);
       WorkerInfo entry = first(lab).info;
       lab.run(moment);
-      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerLife(FIRST, 1))));
+      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerIncarnation(FIRST, 1))));
       lab.run(100);
       lab.post(new JobEvent.WorkerSeen(entry));
       lab.run(1_400);
@@ -232,10 +232,10 @@
     /** Guards against the same where clocks were set back, and the life before was born later. */
     @Test(dataProvider = "moments")
     public void keepsInheritedMarkWhereLaterBirthIsWrong(long delay, long moment) {
-      JobLab lab = marked(delay);
+      JobSimulation lab = marked(delay);
       WorkerInfo entry = first(lab).info;
       lab.run(moment);
-      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerLife(FIRST, lab.now + 5_000))));
+      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerIncarnation(FIRST, lab.now + 5_000))));
       lab.run(100);
       lab.post(new JobEvent.WorkerSeen(entry));
       lab.run(1_400);
@@ -245,7 +245,7 @@
     /** Guards against runs that count as lost with their worker where an old entry comes. */
     @Test
     public void losesNoRunToOldEntry() {
-      JobLab lab = fleet(1);
+      JobSimulation lab = fleet(1);
       WorkerInfo old = first(lab).info;
       lab.crash(first(lab));
       lab.run(RESTART_MILLIS + 3_000);
@@ -259,18 +259,20 @@
     }
 
     /** Returns a lab whose worker has started again, with an earlier birth in its only entry. */
-    private static JobLab setBack() {
-      JobLab lab = fleet(1);
+    private static JobSimulation setBack() {
+      JobSimulation lab = fleet(1);
       lab.run(1_000);
       WorkerInfo now = first(lab).info;
-      WorkerInfo before = now.with(new WorkerLife(FIRST, now.life().bornMillis() + 60_000));
+      WorkerInfo before =
+          now.with(new WorkerIncarnation(FIRST, now.incarnation().startTimeMillis() + 60_000));
       lab.post(new JobEvent.WorkerSeen(before));
       lab.run(10);
       lab.post(
           new JobEvent.WorkerReported(
-              before.life(),
+              before.incarnation(),
               lab.now,
-              new WorkerReport(before.life().bornMillis(), 1_000, List.of(), List.of())));
+              new WorkerReport(
+                  before.incarnation().startTimeMillis(), 1_000, List.of(), List.of())));
       lab.post(new JobEvent.WorkerSeen(now));
       return lab;
     }
@@ -278,7 +280,7 @@
     /** Guards against a worker that gets nothing since its clock was set back. */
     @Test
     public void usesLifeWithEarlierBirthThatAnswers() {
-      JobLab lab = setBack();
+      JobSimulation lab = setBack();
       lab.run(100);
       assertEquals(noted(lab, "worker.restarted"), 2);
       final List<JobSpec> jobs = submit(lab, "jobs", 2);
@@ -289,8 +291,8 @@
     /** Guards against a worker that counts as listed though its entry is gone. */
     @Test
     public void unlistsWorkerWithItsOldEntry() {
-      JobLab lab = setBack();
-      lab.post(new JobEvent.WorkerUnlisted(first(lab).info.life()));
+      JobSimulation lab = setBack();
+      lab.post(new JobEvent.WorkerUnlisted(first(lab).info.incarnation()));
       final List<JobSpec> jobs = submit(lab, "jobs", 1);
       lab.run(5_000);
       assertEquals(lab.starts(), 0);
--- a/core/src/test/java/org/cottontack/core/job/HiddenEndsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of what begins where ends may not be listed. */
-public class HiddenEndsTest {
+public class SuppressedCompletionsTest {
 
   private static final StepSpec TASK = TestStep.tasks(1).of();
   private static final StepSpec LASTING = TestStep.tasks(1).of(StepSpec.Trait.LASTS);
@@ -19,7 +19,7 @@
   /** Returns a task whose run began, with a lease that ends it before it can be done. */
   private static Task brief() {
     Task task = begun();
-    task.brief = true;
+    task.shortLease = true;
     return task;
   }
 
@@ -32,13 +32,13 @@
   }
 
   private static void begin(Task task) {
-    task.place(WorkerLife.only(new WorkerId("w")), 0);
+    task.place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 0);
     task.sent(0);
     task.began = true;
   }
 
-  private static HiddenEnds upTo(long number) {
-    HiddenEnds ends = new HiddenEnds();
+  private static SuppressedCompletions upTo(long number) {
+    SuppressedCompletions ends = new SuppressedCompletions();
     ends.upTo(number);
     return ends;
   }
@@ -49,7 +49,7 @@
     /** Guards against restrictions where nothing is hidden. */
     @Test
     public void admitsAllWhereNothingIsHidden() {
-      HiddenEnds ends = upTo(0);
+      SuppressedCompletions ends = upTo(0);
       assertTrue(ends.admits(TASK, true, false, NOW));
       assertFalse(ends.stops(TASK));
     }
@@ -57,7 +57,7 @@
     /** Guards against two runs at a time whose ends matter. */
     @Test
     public void admitsOneRunThatMatters() {
-      HiddenEnds ends = upTo(3);
+      SuppressedCompletions ends = upTo(3);
       assertTrue(ends.admits(TASK, false, true, NOW));
       assertFalse(ends.admits(TASK, true, false, NOW));
       assertTrue(ends.stops(TASK));
@@ -66,7 +66,7 @@
     /** Guards against a run that goes on by the lease of a service or of an earlier look. */
     @Test
     public void admitsNoRunThatMattersBesideLease() {
-      HiddenEnds ends = upTo(3);
+      SuppressedCompletions ends = upTo(3);
       assertFalse(ends.admits(TASK, false, false, NOW));
       ends.leasedUntil(NOW + 1);
       assertFalse(ends.admits(TASK, false, true, NOW));
@@ -76,7 +76,7 @@
     /** Guards against a lease that a service brings to a run which is to end by its own. */
     @Test
     public void admitsNoLeaseBesideRunThatMatters() {
-      HiddenEnds ends = upTo(3);
+      SuppressedCompletions ends = upTo(3);
       assertFalse(ends.admits(LASTING, true, false, NOW));
       assertFalse(ends.admits(COPIED, true, false, NOW));
     }
@@ -90,7 +90,7 @@
     /** Guards against stopped services and copies, whose ends say nothing. */
     @Test
     public void admitsWhatMayRunAgain() {
-      HiddenEnds ends = HiddenEnds.any(NOW + 1);
+      SuppressedCompletions ends = SuppressedCompletions.any(NOW + 1);
       assertTrue(ends.admits(LASTING, false, false, NOW));
       assertTrue(ends.admits(COPIED, false, false, NOW));
       assertFalse(ends.stops(LASTING) || ends.stops(COPIED));
@@ -103,7 +103,7 @@
     /** Guards against a worker that stays restricted though it lists ends. */
     @Test
     public void endsWithFirstListedEnd() {
-      HiddenEnds ends = upTo(HiddenEnds.ANY);
+      SuppressedCompletions ends = upTo(SuppressedCompletions.ANY);
       ends.listed();
       assertTrue(ends.none());
     }
@@ -111,7 +111,7 @@
     /** Guards against a worker that stays restricted when all hidden numbers are used up. */
     @Test
     public void endsWhenHiddenNumbersAreUsed() {
-      HiddenEnds ends = upTo(2);
+      SuppressedCompletions ends = upTo(2);
       for (int i = 0; i < 2; i++) {
         assertFalse(ends.none());
         assertFalse(ends.vanished(brief()));
@@ -122,7 +122,7 @@
     /** Guards against a run taken for undone though other leases were in force. */
     @Test
     public void countsNoRunThatMayHaveBeenDone() {
-      HiddenEnds ends = upTo(1);
+      SuppressedCompletions ends = upTo(1);
       assertTrue(ends.vanished(begun()));
       assertFalse(ends.none());
     }
@@ -130,20 +130,20 @@
     /** Guards against a brief run that stands for a later one of its task. */
     @Test
     public void countsEachRunOnce() {
-      HiddenEnds ends = upTo(2);
+      SuppressedCompletions ends = upTo(2);
       Task task = brief();
       assertFalse(ends.vanished(task));
       begin(task);
       assertTrue(ends.vanished(task));
-      task.brief = true;
-      task.mayRunOn(WorkerLife.only(new WorkerId("w")), NOW);
+      task.shortLease = true;
+      task.mayRunOn(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), NOW);
       assertTrue(ends.vanished(task));
     }
 
     /** Guards against numbers that are used up by runs that never began. */
     @Test
     public void keepsNumberOfRunThatNeverBegan() {
-      HiddenEnds ends = upTo(1);
+      SuppressedCompletions ends = upTo(1);
       Task task = brief();
       task.began = false;
       assertFalse(ends.vanished(task));
@@ -153,7 +153,7 @@
     /** Guards against a highest number that a lower one replaces. */
     @Test
     public void keepsHighestNumber() {
-      HiddenEnds ends = upTo(2);
+      SuppressedCompletions ends = upTo(2);
       ends.upTo(1);
       assertFalse(ends.vanished(brief()));
       assertFalse(ends.none());
--- a/core/src/test/java/org/cottontack/core/job/TestWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/TestWorker.java
@@ -30,7 +30,7 @@
     Job job = new Job(spec, 0);
     job.advance(0);
     Task task = job.tasks().findFirst().orElseThrow();
-    task.place(WorkerLife.only(new WorkerId("w")), 0);
+    task.place(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), 0);
     task.order = Task.Order.CONFIRMED;
     task.progress = Task.FULL_PROGRESS;
     return task;
@@ -43,7 +43,7 @@
   static Worker in(String pool, Task... tasks) {
     WorkerInfo info =
         new WorkerInfo(
-            WorkerLife.only(new WorkerId("w")),
+            WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")),
             pool,
             "w:1",
             new DataCentreId("dc"),
--- a/core/src/test/java/org/cottontack/core/job/HidingLivesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/UnlistedSuppressionsTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of lives that may hide ends and whose workers do not come back. */
-public class HidingLivesTest {
+public class UnlistedSuppressionsTest {
 
   private static final long START_MILLIS = 10_000;
   private static final long DAY_MILLIS = 24 * 3_600_000;
@@ -128,8 +128,8 @@
     /** Guards against a life forgotten while its worker is listed and does not answer. */
     @Test
     public void doesNotCountWhileListed() {
-      WorkerInfo listed = new LabWorker("w0", 8).info;
-      Leader leader = new Leader("hides w0 " + listed.life().bornMillis());
+      WorkerInfo listed = new SimulatedWorker("w0", 8).info;
+      Leader leader = new Leader("hides w0 " + listed.incarnation().startTimeMillis());
       leader.take(START_MILLIS, new JobEvent.WorkerSeen(listed));
       leader.tick(START_MILLIS + DAY_MILLIS);
       assertEquals(hidden(leader.learned(START_MILLIS + DAY_MILLIS)), 1);
--- a/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
+++ b/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
@@ -32,7 +32,7 @@
   }
 
   private static List<String> order(List<Job> jobs, long nowMillis) {
-    return new Urgency(new Estimates())
+    return new Urgency(new DurationEstimates())
         .order(jobs, nowMillis).stream().map(job -> job.spec.id().value()).toList();
   }
 
@@ -131,7 +131,7 @@
     /** Gives the cores to tasks in order; each advances by one step. */
     private static void work(List<Job> open, long now) {
       int free = CORES;
-      for (Job job : new Urgency(new Estimates()).order(open, now)) {
+      for (Job job : new Urgency(new DurationEstimates()).order(open, now)) {
         for (Task task : job.tasks().filter(t -> t.phase != Task.Phase.DONE).toList()) {
           if (free == 0) {
             return;
--- a/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
@@ -42,7 +42,7 @@
       seen.observe(500, READ_MILLIS);
       seen.leaseEnd(UNTIL_MILLIS);
       seen.leaseEnd(UNTIL_MILLIS - 5_000);
-      assertEquals(seen.allLapsedMillis(), UNTIL_MILLIS);
+      assertEquals(seen.lastLeaseEndMillis(), UNTIL_MILLIS);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
@@ -17,11 +17,11 @@
   /** Leaders that do not reach their workers. */
   public static class Reaching {
 
-    private static LabWorker in(String dataCentre, String id) {
-      return new LabWorker(id, 8, id + ":1", dataCentre);
+    private static SimulatedWorker in(String dataCentre, String id) {
+      return new SimulatedWorker(id, 8, id + ":1", dataCentre);
     }
 
-    private static long handOvers(JobLab lab) {
+    private static long handOvers(JobSimulation lab) {
       return lab.seen.stream().filter(JobEffect.HandOver.class::isInstance).count();
     }
 
@@ -31,10 +31,10 @@
      */
     @Test
     public void handsOverWhenCutOffFromMostWorkers() {
-      LabWorker here = in("a", "w1");
-      LabWorker second = in("b", "w2");
-      LabWorker third = in("c", "w3");
-      JobLab lab = lab(here, second, third);
+      SimulatedWorker here = in("a", "w1");
+      SimulatedWorker second = in("b", "w2");
+      SimulatedWorker third = in("c", "w3");
+      JobSimulation lab = lab(here, second, third);
       lab.submit(job("a", step(3, 8, List.of(), StepSpec.Trait.LASTS)));
       lab.run(4_000);
       assertEquals(handOvers(lab), 0);
@@ -47,9 +47,9 @@
     /** Two equal sides: neither reaches more, and the lead must not go to and fro. */
     @Test
     public void staysWhereHalfAnswer() {
-      LabWorker here = in("a", "w1");
-      LabWorker there = in("b", "w2");
-      JobLab lab = lab(here, there);
+      SimulatedWorker here = in("a", "w1");
+      SimulatedWorker there = in("b", "w2");
+      JobSimulation lab = lab(here, there);
       lab.submit(job("a", step(2, 8, List.of(), StepSpec.Trait.LASTS)));
       lab.run(4_000);
       there.reachable = false;
@@ -69,15 +69,15 @@
 
     private static final TaskName TASK = TaskName.parse("s.0.0.0");
 
-    private static JobLab withLastingTask(LabWorker first, LabWorker second) {
-      JobLab lab = lab(first, second);
+    private static JobSimulation withLastingTask(SimulatedWorker first, SimulatedWorker second) {
+      JobSimulation lab = lab(first, second);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
       return lab;
     }
 
-    private static LabWorker holder(LabWorker... workers) {
+    private static SimulatedWorker holder(SimulatedWorker... workers) {
       return Stream.of(workers).filter(worker -> worker.runs(TASK)).findFirst().orElseThrow();
     }
 
@@ -87,12 +87,12 @@
      */
     @Test
     public void namesRunsThatAreLostWithTheirWorker() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = withLastingTask(first, second);
-      LabWorker lost = holder(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = withLastingTask(first, second);
+      SimulatedWorker lost = holder(first, second);
       lab.run(4_000);
-      lab.post(new JobEvent.WorkerReborn(lost.info.life()));
+      lab.post(new JobEvent.WorkerReborn(lost.info.incarnation()));
       List<String> lines =
           lab.seen.stream()
               .filter(JobEffect.Note.class::isInstance)
@@ -113,11 +113,11 @@
      */
     @Test
     public void lastingTasksOfLostWorkersReturnSoonAfterTakeover() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = withLastingTask(first, second);
-      final LabWorker lost = holder(first, second);
-      final LabWorker other = lost == first ? second : first;
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = withLastingTask(first, second);
+      final SimulatedWorker lost = holder(first, second);
+      final SimulatedWorker other = lost == first ? second : first;
       lab.run(5_000);
       lost.dead = true;
       lab.run(500);
@@ -134,13 +134,13 @@
      */
     @Test
     public void lastingTasksOfWorkersCutOffNeverRunTwice() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
       first.speed = WorkerClock.SLOWEST;
       second.speed = WorkerClock.SLOWEST;
-      JobLab lab = withLastingTask(first, second);
-      final LabWorker cut = holder(first, second);
-      final LabWorker other = cut == first ? second : first;
+      JobSimulation lab = withLastingTask(first, second);
+      final SimulatedWorker cut = holder(first, second);
+      final SimulatedWorker other = cut == first ? second : first;
       lab.run(5_000);
       cut.reachable = false;
       lab.leaderDies();
@@ -151,11 +151,11 @@
     }
 
     private static long millisAway(boolean busy) {
-      LabWorker first = new LabWorker("w1", 64);
-      LabWorker second = new LabWorker("w2", 64);
-      JobLab lab = withLastingTask(first, second);
-      final LabWorker lost = holder(first, second);
-      final LabWorker other = lost == first ? second : first;
+      SimulatedWorker first = new SimulatedWorker("w1", 64);
+      SimulatedWorker second = new SimulatedWorker("w2", 64);
+      JobSimulation lab = withLastingTask(first, second);
+      final SimulatedWorker lost = holder(first, second);
+      final SimulatedWorker other = lost == first ? second : first;
       lab.workMillis = 200;
       lab.run(5_000);
       lost.dead = true;
@@ -186,23 +186,23 @@
      */
     @Test
     public void keepsTheLeadWhileLeasesOfLostWorkersLast() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = withLastingTask(first, second);
-      assertTrue(lab.mayMakeWay("dc"));
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = withLastingTask(first, second);
+      assertTrue(lab.mayYieldLeadershipTo("dc"));
       holder(first, second).dead = true;
       lab.run(1_500);
-      assertFalse(lab.mayMakeWay("dc"));
+      assertFalse(lab.mayYieldLeadershipTo("dc"));
       lab.run(9_000);
-      assertTrue(lab.mayMakeWay("dc"));
+      assertTrue(lab.mayYieldLeadershipTo("dc"));
     }
 
     /** Logs tell for how long the tasks of a worker that nobody reaches have to wait. */
     @Test
     public void saysHowLongTasksOfLostWorkersWait() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = withLastingTask(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = withLastingTask(first, second);
       holder(first, second).dead = true;
       lab.leaderDies();
       lab.takeOver();
@@ -226,9 +226,9 @@
      */
     @Test
     public void suspectsWorkersThatFailEverything() {
-      LabWorker bad = new LabWorker("w1", 32);
-      LabWorker good = new LabWorker("w2", 16);
-      JobLab lab = lab(bad, good);
+      SimulatedWorker bad = new SimulatedWorker("w1", 32);
+      SimulatedWorker good = new SimulatedWorker("w2", 16);
+      JobSimulation lab = lab(bad, good);
       bad.failsAll = true;
       for (int i = 0; i < 8; i++) {
         lab.submit(job("a" + i, step(1, 1, List.of())));
@@ -247,9 +247,9 @@
      */
     @Test
     public void movesRunsThatStandStill() {
-      LabWorker bad = new LabWorker("w1", 32);
-      LabWorker good = new LabWorker("w2", 16);
-      JobLab lab = lab(bad, good);
+      SimulatedWorker bad = new SimulatedWorker("w1", 32);
+      SimulatedWorker good = new SimulatedWorker("w2", 16);
+      JobSimulation lab = lab(bad, good);
       bad.stalls = true;
       JobSpec job = job("a", step(1, 1, List.of()));
       lab.submit(job);
@@ -260,14 +260,14 @@
     /** Guards against a start that leaves with the save of an earlier placement of its task. */
     @Test
     public void startsNothingWithSaveOfEarlierPlacement() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = lab(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = lab(first, second);
       lab.storeAway = true;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(50);
-      lab.post(new JobEvent.WorkerReborn(second.info.life()));
-      lab.post(new JobEvent.WorkerReborn(first.info.life()));
+      lab.post(new JobEvent.WorkerReborn(second.info.incarnation()));
+      lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
       lab.post(new JobEvent.WorkerSeen(first.info));
       lab.run(300);
       lab.storeBack();
@@ -278,17 +278,17 @@
     /** Guards against answers to stops that keep a run placed which its worker no longer lists. */
     @Test
     public void movesLastingTaskWhoseEndIsNeverListed() {
-      LabWorker first = new LabWorker("w1", 8);
-      LabWorker second = new LabWorker("w2", 8);
-      JobLab lab = lab(first, second);
+      SimulatedWorker first = new SimulatedWorker("w1", 8);
+      SimulatedWorker second = new SimulatedWorker("w2", 8);
+      JobSimulation lab = lab(first, second);
       lab.workMillis = 60_000;
       lab.submit(job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.run(1_000);
-      LabWorker leaving = first.count() == 1 ? first : second;
-      final LabWorker other = leaving == first ? second : first;
+      SimulatedWorker leaving = first.count() == 1 ? first : second;
+      final SimulatedWorker other = leaving == first ? second : first;
       lab.longestWaitMillis = 1_000;
       leaving.listsNoEnds = true;
-      lab.post(JobLab.draining(leaving));
+      lab.post(JobSimulation.draining(leaving));
       lab.run(2_500);
       assertEquals(other.count(), 1);
     }
@@ -298,12 +298,12 @@
      */
     @Test
     public void sendsNothingAgainToLeavingWorkers() {
-      LabWorker leaving = new LabWorker("w1", 8);
-      JobLab lab = lab(leaving);
+      SimulatedWorker leaving = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(leaving);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 20_000 : 0;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(500);
-      lab.post(JobLab.draining(leaving));
+      lab.post(JobSimulation.draining(leaving));
       lab.delay = effect -> 0;
       lab.run(6_000);
       assertEquals(lab.starts(), 0);
@@ -316,16 +316,16 @@
      */
     @Test
     public void movesLastingTasksOffDrainingWorkers() {
-      LabWorker leaving = new LabWorker("w1", 32);
-      JobLab lab = lab(leaving);
+      SimulatedWorker leaving = new SimulatedWorker("w1", 32);
+      JobSimulation lab = lab(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(3, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
       assertEquals(leaving.count(), 3);
-      LabWorker other = new LabWorker("w2", 8);
+      SimulatedWorker other = new SimulatedWorker("w2", 8);
       lab.workers.put(other.info.id(), other);
       lab.post(new JobEvent.WorkerSeen(other.info));
-      lab.post(JobLab.draining(leaving));
+      lab.post(JobSimulation.draining(leaving));
       lab.run(1_500);
       assertEquals(other.count(), 2);
       assertEquals(leaving.count(), 1);
@@ -337,12 +337,12 @@
      */
     @Test
     public void lostStopsDoNotHoldLastingTasksOnDrainingWorkers() {
-      LabWorker leaving = new LabWorker("w1", 16);
-      JobLab lab = lab(leaving);
+      SimulatedWorker leaving = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(2, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
-      LabWorker other = new LabWorker("w2", 16);
+      SimulatedWorker other = new SimulatedWorker("w2", 16);
       lab.workers.put(other.info.id(), other);
       lab.post(new JobEvent.WorkerSeen(other.info));
       int[] stops = {0};
@@ -352,7 +352,7 @@
             stops[0] += first ? 1 : 0;
             return first;
           };
-      lab.post(JobLab.draining(leaving));
+      lab.post(JobSimulation.draining(leaving));
       lab.run(2_500);
       assertEquals(other.count(), 2);
     }
@@ -363,25 +363,25 @@
      */
     @Test
     public void hopelessJobsDoNotHoldLastingTasksOnDrainingWorkers() {
-      LabWorker leaving = new LabWorker("w1", 16);
-      JobLab lab = lab(leaving);
+      SimulatedWorker leaving = new SimulatedWorker("w1", 16);
+      JobSimulation lab = lab(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.submit(job("never", step(1, 99, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
-      LabWorker other = new LabWorker("w2", 16);
+      SimulatedWorker other = new SimulatedWorker("w2", 16);
       lab.workers.put(other.info.id(), other);
       lab.post(new JobEvent.WorkerSeen(other.info));
-      lab.post(JobLab.draining(leaving));
+      lab.post(JobSimulation.draining(leaving));
       lab.run(1_500);
       assertTrue(other.runs(TaskName.parse("s.0.0.0")));
     }
 
     @Test
     public void placesNothingOnDrainingWorkers() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
-      lab.post(JobLab.draining(worker));
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
+      lab.post(JobSimulation.draining(worker));
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(1_000);
       assertEquals(lab.starts(), 0);
@@ -389,8 +389,8 @@
 
     @Test
     public void placesNothingOnWorkersOfAnotherPool() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
       JobQueue moved = new JobQueue("queue", "host", "/jobs/", "other", 0, 2, 1.5, 250, false);
       lab.table(new JobTable(2, List.of(moved), List.of()));
       lab.submit(job("a", step(1, 2, List.of())));
@@ -400,9 +400,9 @@
 
     @Test
     public void forgetsWorkersThatLeftEmpty() {
-      LabWorker worker = new LabWorker("w1", 8);
-      JobLab lab = lab(worker);
-      lab.post(new JobEvent.WorkerUnlisted(worker.info.life()));
+      SimulatedWorker worker = new SimulatedWorker("w1", 8);
+      JobSimulation lab = lab(worker);
+      lab.post(new JobEvent.WorkerUnlisted(worker.info.incarnation()));
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(1_000);
       assertEquals(lab.starts(), 0);
--- a/daemon/src/main/java/org/cottontack/daemon/job/Cancellation.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Cancellation.java
@@ -49,9 +49,9 @@
    *
    * @param jobVersion the version of the job's row, 0 without a row
    */
-  static Change change(JobId id, long jobVersion) {
+  static Transaction change(JobId id, long jobVersion) {
     Payload content = Payload.of(fitting(jobVersion).text);
-    return new Change(
+    return new Transaction(
         Map.of(JobTables.job(id), jobVersion), Map.of(JobTables.cancel(id), content), List.of());
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/CommitAnswer.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/CommitResult.java
@@ -11,7 +11,7 @@
  * @param current the expected rows as they are, after a conflict
  * @param storeMillis the store's steady clock when it answered, in milliseconds; 0 when unknown
  */
-public record CommitAnswer(Outcome outcome, long version, List<Row> current, long storeMillis) {
+public record CommitResult(Outcome outcome, long version, List<Row> current, long storeMillis) {
 
   /** How a transaction ends. */
   public enum Outcome {
@@ -26,7 +26,7 @@
   }
 
   /** Keeps the list immutable. */
-  public CommitAnswer {
+  public CommitResult {
     current = List.copyOf(current);
   }
 
@@ -36,8 +36,8 @@
   }
 
   /** Returns an answer without rows. */
-  public static CommitAnswer of(Outcome outcome) {
-    return new CommitAnswer(outcome, 0, List.of(), 0);
+  public static CommitResult of(Outcome outcome) {
+    return new CommitResult(outcome, 0, List.of(), 0);
   }
 
   /** Returns a row as it stood at the time of the conflict. */
--- a/daemon/src/main/java/org/cottontack/daemon/job/StartNews.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/FreshnessLimit.java
@@ -3,7 +3,7 @@
 /**
  * News that may forbid to start work, and how old it may be, counted from when it was asked for.
  */
-enum StartNews {
+enum FreshnessLimit {
 
   /** Jobs that callers cancelled: 3 s later nothing of them may begin. */
   CANCELLATIONS(2_000, 3_000),
@@ -27,7 +27,7 @@
    *     to the bound is for its way
    * @param boundMillis time after which nothing may begin against this news, in milliseconds
    */
-  StartNews(long oldestMillis, long boundMillis) {
+  FreshnessLimit(long oldestMillis, long boundMillis) {
     this.oldestMillis = oldestMillis;
     this.boundMillis = boundMillis;
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Hangup.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/HangupSignal.java
@@ -10,12 +10,12 @@
  * handler is bound by reflection because the compiler does not know the virtual machine's signal
  * class.
  */
-final class Hangup {
+final class HangupSignal {
 
-  private static final Logger LOG = LogManager.getLogger(Hangup.class);
+  private static final Logger LOG = LogManager.getLogger(HangupSignal.class);
   private static final String SIGNAL = "HUP";
 
-  private Hangup() {}
+  private HangupSignal() {}
 
   /** Runs something at each such signal. */
   static void handle(Runnable action) {
@@ -24,7 +24,7 @@
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
       Object proxy =
           Proxy.newProxyInstance(
-              Hangup.class.getClassLoader(),
+              HangupSignal.class.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, args) -> {
                 action.run();
--- a/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
@@ -81,8 +81,8 @@
    */
   public void submit(JobSpec job, OptionalLong patienceMillis, Consumer<Answer> done) {
     RowKey row = JobTables.job(job.id());
-    Change change =
-        new Change(
+    Transaction change =
+        new Transaction(
             Map.of(row, 0L, JobTables.cancel(job.id()), 0L),
             Map.of(
                 row,
@@ -101,8 +101,8 @@
   }
 
   /** A conflict beside the job's row says that an earlier copy of this submission wrote it. */
-  private static Answer taken(JobId id, CommitAnswer answer) {
-    if (answer.outcome() == CommitAnswer.Outcome.DONE
+  private static Answer taken(JobId id, CommitResult answer) {
+    if (answer.outcome() == CommitResult.Outcome.DONE
         || answer.current(JobTables.job(id)).isPresent()) {
       return Answer.STORED;
     }
@@ -155,10 +155,10 @@
   }
 
   private void cancelAt(JobId id, long jobVersion, long untilMillis, Consumer<Answer> done) {
-    Consumer<CommitAnswer> settled =
+    Consumer<CommitResult> settled =
         answer -> {
           long version = versionOf(answer.current(JobTables.job(id)));
-          if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+          if (answer.outcome() == CommitResult.Outcome.DONE) {
             done.accept(Cancellation.fitting(jobVersion).answer());
           } else if (version == jobVersion) {
             done.accept(Answer.UNKNOWN);
@@ -273,9 +273,9 @@
    */
   private final class Attempt {
 
-    private final Change change;
+    private final Transaction change;
     private final long untilMillis;
-    private final Consumer<CommitAnswer> settled;
+    private final Consumer<CommitResult> settled;
     private final Consumer<Answer> done;
     private final long beganMillis = timers.now().mono();
     private long sentMillis;
@@ -294,7 +294,10 @@
      * @param done gets the answer when there is no certain one
      */
     Attempt(
-        Change change, long untilMillis, Consumer<CommitAnswer> settled, Consumer<Answer> done) {
+        Transaction change,
+        long untilMillis,
+        Consumer<CommitResult> settled,
+        Consumer<Answer> done) {
       this.change = change;
       this.untilMillis = untilMillis;
       this.settled = settled;
@@ -336,7 +339,7 @@
       timers.after(LOOK_MILLIS, this::look);
     }
 
-    private void answered(CommitAnswer answer) {
+    private void answered(CommitResult answer) {
       open--;
       switch (answer.outcome()) {
         case DONE, CONFLICT -> end(() -> settled.accept(answer));
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobEntry.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobEntry.java
@@ -27,7 +27,7 @@
   private final Intake intake;
   private final Leadership leadership;
   private final WatchedStore store;
-  private final WorkerCalls workers;
+  private final WorkerClient workers;
   private final long keepMillis;
   private final WorkerRegistry registry;
   private final JobMetrics metrics = new JobMetrics(this);
@@ -54,7 +54,7 @@
       Timers timers,
       RuleSource rules,
       WorkerRegistry registry,
-      WorkerCalls workers) {
+      WorkerClient workers) {
     this.keepMillis = keepMillis;
     this.store = store;
     this.timers = timers;
@@ -117,8 +117,8 @@
     }
 
     @Override
-    public boolean mayMakeWay(String dataCentre) {
-      return leader != null && leader.mayMakeWay(dataCentre);
+    public boolean mayYieldLeadershipTo(String dataCentre) {
+      return leader != null && leader.mayYieldLeadershipTo(dataCentre);
     }
   }
 
@@ -151,7 +151,7 @@
 
   /** Returns whether this instance should get new callers. */
   public boolean ready() {
-    boolean rulesAreNew = timers.now().mono() - rules.contactMillis() < RULES_AGE_MILLIS;
+    boolean rulesAreNew = timers.now().mono() - rules.lastContactMillis() < RULES_AGE_MILLIS;
     return !stopping && table.version() >= 0 && rulesAreNew && !store.away();
   }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobProcess.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobProcess.java
@@ -43,7 +43,7 @@
   private final JobEntry entry;
   private final HttpServer callers;
 
-  private JobProcess(Path file, JobSettings settings, Adapter adapter) {
+  private JobProcess(Path file, JobSettings settings, PlatformAdapter adapter) {
     this.file = file;
     this.settings = settings;
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -71,7 +71,7 @@
    * @param file the file of settings
    * @param adapter translates between the platform and this instance
    */
-  public static void run(Path file, Adapter adapter) {
+  public static void run(Path file, PlatformAdapter adapter) {
     try {
       new JobProcess(file, JobSettings.load(file), adapter).start();
     } catch (SettingsException e) {
@@ -89,7 +89,7 @@
 
   private void start() {
     timers.soon(entry::start);
-    Hangup.handle(this::reloaded);
+    HangupSignal.handle(this::reloaded);
     LOG.info("started {}", settings.name());
     Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
@@ -21,7 +21,7 @@
 import org.cottontack.core.job.JobTable;
 import org.cottontack.core.job.JobTiming;
 import org.cottontack.core.job.ProgressText;
-import org.cottontack.core.job.WorkerLife;
+import org.cottontack.core.job.WorkerIncarnation;
 import org.cottontack.wire.JobCodec;
 import org.cottontack.wire.WireException;
 
@@ -48,7 +48,7 @@
 
   private final WatchedStore store;
   private final Timers timers;
-  private final WorkerCalls workers;
+  private final WorkerClient workers;
   private final WorkerRegistry registry;
   private final RuleSource rules;
   private final Leadership leadership;
@@ -59,9 +59,9 @@
   private final Retention retention;
   private final Map<JobId, JobSpec> accepted = new HashMap<>();
   private final Set<JobId> cancelled = new HashSet<>();
-  private final List<Follower> followers = new ArrayList<>();
-  private Follower cancels;
-  private Follower listed;
+  private final List<TableWatcher> followers = new ArrayList<>();
+  private TableWatcher cancels;
+  private TableWatcher listed;
   private StartGate gate;
   private JobTable table = JobTable.EMPTY;
   private Set<DataCentreId> evacuated = Set.of();
@@ -74,7 +74,7 @@
   Leader(
       WatchedStore store,
       Timers timers,
-      WorkerCalls workers,
+      WorkerClient workers,
       WorkerRegistry registry,
       RuleSource rules,
       Leadership leadership,
@@ -103,8 +103,8 @@
    * one. While it takes over it asks no worker, and says yes: a small instance needs seconds for
    * that, in which nothing starts.
    */
-  boolean mayMakeWay(String dataCentre) {
-    return scheduler == null || scheduler.mayMakeWay(new DataCentreId(dataCentre));
+  boolean mayYieldLeadershipTo(String dataCentre) {
+    return scheduler == null || scheduler.mayYieldLeadershipTo(new DataCentreId(dataCentre));
   }
 
   void start() {
@@ -113,7 +113,7 @@
 
   void stop() {
     stopped = true;
-    followers.forEach(Follower::stop);
+    followers.forEach(TableWatcher::stop);
     progressStore.stop();
     waitingRows.stop();
     retention.stop();
@@ -137,22 +137,22 @@
     }
     Runnable onCurrent = () -> onTableRead(found);
     List<String> parts = JobTables.intakeParts();
-    followers.add(new Follower(store, timers, JobTables.JOBS, parts, this::job, onCurrent));
+    followers.add(new TableWatcher(store, timers, JobTables.JOBS, parts, this::job, onCurrent));
     cancels =
-        new Follower(store, timers, JobTables.CANCELS, parts, this::cancel, onCurrent)
+        new TableWatcher(store, timers, JobTables.CANCELS, parts, this::cancel, onCurrent)
             .withMaxWait(NEWS_WAIT_MILLIS);
     followers.add(cancels);
-    listed = registry.follower(this::post, onCurrent).withMaxWait(NEWS_WAIT_MILLIS);
+    listed = registry.watcher(this::post, onCurrent).withMaxWait(NEWS_WAIT_MILLIS);
     followers.add(listed);
     gate =
         new StartGate(
             timers,
             Map.of(
-                StartNews.CANCELLATIONS, cancels::asked,
-                StartNews.EVACUATIONS, rules::asked,
-                StartNews.WORKERS, listed::asked));
+                FreshnessLimit.CANCELLATIONS, cancels::lastRequestSent,
+                FreshnessLimit.EVACUATIONS, rules::lastRequestSent,
+                FreshnessLimit.WORKERS, listed::lastRequestSent));
     toRead = followers.size();
-    followers.forEach(Follower::start);
+    followers.forEach(TableWatcher::start);
   }
 
   private void job(Row row) {
@@ -228,7 +228,7 @@
     accepted.keySet().stream().filter(retention::claim).forEach(cancelled::add);
     JobScheduler made =
         new JobScheduler(
-            JobTiming.STANDARD, table, timers.now(), leadership.inheritedLapseMillis());
+            JobTiming.STANDARD, table, timers.now(), leadership.inheritedLeaseEndMillis());
     scheduler = made;
     post(new JobEvent.LearnedRecovered(found.learned()));
     post(new JobEvent.DataCentresEvacuated(evacuated));
@@ -278,9 +278,9 @@
   private void tick() {
     if (!stopped) {
       timers.after(TICK_MILLIS, this::tick);
-      cancels.askIfLeapt();
-      listed.askIfLeapt();
-      rules.askIfLeapt();
+      cancels.refreshAfterClockJump();
+      listed.refreshAfterClockJump();
+      rules.refreshAfterClockJump();
       post(new JobEvent.Tick(leadership.renewal()));
     }
   }
@@ -294,7 +294,7 @@
     leadership.renewIfDue();
     boundStarts();
     metrics.event(event);
-    scheduler.take(timers.now(), event).forEach(this::run);
+    scheduler.handle(timers.now(), event).forEach(this::run);
     if (!deciding) {
       deciding = true;
       timers.after(pauseMillis, this::decide);
@@ -303,7 +303,7 @@
 
   /** Tells until when work may begin by the news that there is. */
   private void boundStarts() {
-    scheduler.take(timers.now(), new JobEvent.StartsBounded(gate.closesMillis()));
+    scheduler.handle(timers.now(), new JobEvent.StartsBounded(gate.closesMillis()));
   }
 
   /** Decides about all events since the last time; the pause bounds its share of the processor. */
@@ -330,12 +330,14 @@
           start,
           epoch,
           () -> leaves(start),
-          result -> post(new JobEvent.StartEnded(start.target().life(), start.run(), result)));
+          result ->
+              post(new JobEvent.StartEnded(start.target().incarnation(), start.run(), result)));
     } else if (effect instanceof JobEffect.StopRun stop) {
       workers.stop(
           stop,
           epoch,
-          answered -> post(new JobEvent.StopEnded(stop.target().life(), stop.run(), answered)));
+          answered ->
+              post(new JobEvent.StopEnded(stop.target().incarnation(), stop.run(), answered)));
     } else if (effect instanceof JobEffect.LookAtWorker look) {
       look(look);
     } else if (effect instanceof JobEffect.PaceRun pace) {
@@ -357,7 +359,7 @@
 
   private void paced(JobEffect.PaceRun pace, boolean answered) {
     if (!answered) {
-      post(new JobEvent.PaceLost(pace.target().life(), pace.run()));
+      post(new JobEvent.PaceLost(pace.target().incarnation(), pace.run()));
     }
   }
 
@@ -365,7 +367,7 @@
   private boolean leaves(JobEffect.StartRun start) {
     boolean may = mayStart(start);
     if (may) {
-      metrics.started(gate.ageMillis(StartNews.CANCELLATIONS));
+      metrics.started(gate.ageMillis(FreshnessLimit.CANCELLATIONS));
     }
     return may;
   }
@@ -380,16 +382,17 @@
     return !stopped
         && leadership.mayStart()
         && gate.open()
-        && scheduler.maySend(start.target().life(), start.run());
+        && scheduler.maySend(start.target().incarnation(), start.run());
   }
 
   private void look(JobEffect.LookAtWorker look) {
     long sent = timers.now().mono();
-    workers.look(look, epoch, () -> !stopped, answer -> post(lookEnded(look, sent, answer)));
+    workers.poll(look, epoch, () -> !stopped, answer -> post(lookEnded(look, sent, answer)));
   }
 
-  private JobEvent lookEnded(JobEffect.LookAtWorker look, long sent, WorkerCalls.Look answer) {
-    WorkerLife worker = look.target().life();
+  private JobEvent lookEnded(
+      JobEffect.LookAtWorker look, long sent, WorkerClient.PollResult answer) {
+    WorkerIncarnation worker = look.target().incarnation();
     return switch (answer.outcome()) {
       case ANSWERED -> new JobEvent.WorkerReported(worker, sent, answer.report());
       case SILENT -> new JobEvent.WorkerSilent(worker);
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
@@ -59,7 +59,7 @@
   private final String self;
   private final String dataCentre;
   private final Listener listener;
-  private final Succession succession;
+  private final LeadershipHandover succession;
   private final LeaseRow leaseRow;
   private final Map<RowKey, Row> rows = new HashMap<>();
   private LeaderLease lease = new LeaderLease();
@@ -90,7 +90,7 @@
      * Returns whether nothing speaks against an instance of a data centre leading in place of this
      * one. A leader that has not begun knows as little of that as any election, and says yes.
      */
-    boolean mayMakeWay(String dataCentre);
+    boolean mayYieldLeadershipTo(String dataCentre);
   }
 
   /**
@@ -107,7 +107,7 @@
     this.self = self;
     this.dataCentre = instance.dataCentre();
     this.listener = listener;
-    this.succession = new Succession(instance, HAND_OVER_GAP_MILLIS);
+    this.succession = new LeadershipHandover(instance, HAND_OVER_GAP_MILLIS);
     this.leaseRow = new LeaseRow(self);
   }
 
@@ -155,8 +155,8 @@
    * Returns the steady time, in milliseconds, at which all leases have ended that earlier leaders
    * gave to workers: none lasts longer than its giver's last renewal allows.
    */
-  long inheritedLapseMillis() {
-    return leaseRow.inheritedLapseMillis();
+  long inheritedLeaseEndMillis() {
+    return leaseRow.inheritedLeaseEndMillis();
   }
 
   private void take(List<Row> news) {
@@ -174,7 +174,7 @@
     }
     Optional<LeaseText> text = Optional.ofNullable(held).map(row -> LeaseText.parse(row.text()));
     boolean open = text.isEmpty() || text.get().isFree() || heldByOurLastLife(text.get().holder());
-    if (open || lease.lapsed()) {
+    if (open || lease.expired()) {
       long spread = ThreadLocalRandom.current().nextLong(SPREAD_MILLIS);
       boolean cutOff = text.isPresent() && text.get().cutOff().equals(dataCentre);
       long wait = (open ? spread / 10 : spread) + (cutOff ? HEAD_START_MILLIS : 0);
@@ -214,10 +214,10 @@
   }
 
   private void watch() {
-    store.follow(
+    store.watch(
         JobTables.LEADER,
         position,
-        Math.min(WATCH_MILLIS, lease.silenceLeftMillis()),
+        Math.min(WATCH_MILLIS, lease.untilExpiryMillis()),
         news -> {
           switch (news.outcome()) {
             case CURRENT -> {
@@ -245,22 +245,22 @@
     // The transaction holds only if nobody renewed after the row as we know it.
     Optional<Row> last = Optional.ofNullable(rows.get(LEASE)).filter(row -> leaseVersion > 0);
     leaseRow.inherit(last.map(row -> LeaseText.parse(row.text())), lease.changedMillis());
-    Change change =
-        new Change(
+    Transaction change =
+        new Transaction(
             Map.of(ELECTION, election == null ? 0 : election.version(), LEASE, leaseVersion),
             Map.of(
                 ELECTION,
                 Payload.of(next + " " + self),
                 LEASE,
                 leaseRow.held(renewals, sent, true),
-                Succession.CAPACITY,
+                LeadershipHandover.CAPACITY,
                 succession.taken()),
             List.of());
     store.commit(
         change,
         ANSWER_MILLIS,
         answer -> {
-          if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+          if (answer.outcome() == CommitResult.Outcome.DONE) {
             won(next, answer.version(), sent);
           } else {
             log("leader.notWon", "epoch=" + next + " " + answer.outcome());
@@ -336,7 +336,7 @@
     renewalSentMillis = sent.mono();
     Map<RowKey, Long> expected = new HashMap<>();
     expected.put(ELECTION, electionVersion);
-    expected.put(Succession.REQUEST, succession.heardVersion());
+    expected.put(LeadershipHandover.REQUEST, succession.heardVersion());
     // An unanswered copy that is carried out late would put its old time over a newer one, and the
     // next leader would not wait for all leases. So a renewal says its time only where it expects
     // the row as our last one left it; any other says none.
@@ -346,24 +346,24 @@
     }
     leaseKnown = false;
     Payload text = leaseRow.held(renewals, sent, stated);
-    Change change = new Change(expected, Map.of(LEASE, text), List.of());
+    Transaction change = new Transaction(expected, Map.of(LEASE, text), List.of());
     long number = renewals;
     store.commit(change, ANSWER_MILLIS, answer -> renewed(term, number, sent, answer));
   }
 
-  private void renewed(long term, long number, Moment sent, CommitAnswer answer) {
+  private void renewed(long term, long number, Moment sent, CommitResult answer) {
     if (!leading || epoch != term) {
       return;
     }
     leaseRow.told(sent, timers.now(), answer.storeMillis());
-    if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+    if (answer.outcome() == CommitResult.Outcome.DONE) {
       lease.renewed(sent);
       leaseVersion = Math.max(leaseVersion, answer.version());
       // Behind a late answer newer renewals are under way. One that expected the row as this one
       // left it would conflict, and while answers are late so would each after it.
       leaseKnown = number == renewals;
       makeWay();
-    } else if (answer.outcome() == CommitAnswer.Outcome.CONFLICT) {
+    } else if (answer.outcome() == CommitResult.Outcome.CONFLICT) {
       conflicted(term, answer);
     } else {
       log("leader.renewalFailed", answer.outcome().toString());
@@ -373,10 +373,10 @@
   /**
    * A renewal conflicts when another instance has taken over, and when one has asked for the lead.
    */
-  private void conflicted(long term, CommitAnswer answer) {
+  private void conflicted(long term, CommitResult answer) {
     if (answer.current(ELECTION).map(Row::version).orElse(0L) != electionVersion) {
       stepDown("another instance has taken over");
-    } else if (succession.heard(term, answer.current(Succession.REQUEST))) {
+    } else if (succession.heard(term, answer.current(LeadershipHandover.REQUEST))) {
       makeWay();
       if (leading) {
         sendRenewal(term);
@@ -395,7 +395,7 @@
   private void makeWay() {
     succession
         .heard()
-        .filter(request -> listener.mayMakeWay(request.dataCentre()))
+        .filter(request -> listener.mayYieldLeadershipTo(request.dataCentre()))
         .ifPresent(
             request ->
                 handOver(
@@ -403,10 +403,10 @@
                     Map.of(
                         LEASE,
                         free(""),
-                        Succession.CAPACITY,
+                        LeadershipHandover.CAPACITY,
                         Payload.of(request.capacity().text()),
-                        Succession.REQUEST,
-                        Succession.handedOver(epoch))));
+                        LeadershipHandover.REQUEST,
+                        LeadershipHandover.handedOver(epoch))));
   }
 
   /** Ends this instance's term, if it leads, and watches the next leader. */
@@ -431,7 +431,12 @@
    */
   void handOver(String reason) {
     handOver(
-        reason, Map.of(LEASE, free(dataCentre), Succession.REQUEST, Succession.handedOver(epoch)));
+        reason,
+        Map.of(
+            LEASE,
+            free(dataCentre),
+            LeadershipHandover.REQUEST,
+            LeadershipHandover.handedOver(epoch)));
   }
 
   private void handOver(String reason, Map<RowKey, Payload> writes) {
@@ -448,8 +453,8 @@
   }
 
   /** Gives the lease back, unless another instance has taken over meanwhile. */
-  private void giveBack(Map<RowKey, Payload> writes, Consumer<CommitAnswer> done) {
-    Change change = new Change(Map.of(ELECTION, electionVersion), writes, List.of());
+  private void giveBack(Map<RowKey, Payload> writes, Consumer<CommitResult> done) {
+    Transaction change = new Transaction(Map.of(ELECTION, electionVersion), writes, List.of());
     store.commit(change, ANSWER_MILLIS, done);
   }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/Succession.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -12,7 +12,7 @@
  * Brings the lead to an instance that can carry it, through two rows beside the lease: one says
  * what the leader has, the other who asked it for the lead. Confined to the event loop.
  */
-final class Succession {
+final class LeadershipHandover {
 
   /** What the leader has; written with each takeover, and for the next one when it makes way. */
   static final RowKey CAPACITY = new RowKey(JobTables.LEADER, JobTables.LEADER_PART, "capacity");
@@ -61,7 +61,7 @@
    * @param instance this instance
    * @param gapMillis least time between two requests that it knows of, in milliseconds
    */
-  Succession(Instance instance, long gapMillis) {
+  LeadershipHandover(Instance instance, long gapMillis) {
     this.instance = instance;
     this.candidacy = new Candidacy(instance.capacity(), gapMillis);
   }
@@ -113,7 +113,7 @@
    * @param election the row of the current term
    * @param epoch its number
    */
-  Optional<Change> ask(long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
+  Optional<Transaction> ask(long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
     Row held = rows.get(CAPACITY);
     // Another version of the product that took over has not written the row, and hears no requests.
     boolean hears = held != null && held.version() == election.version();
@@ -123,7 +123,7 @@
     candidacy.asking(nowMillis, epoch);
     Request request = new Request(epoch, instance.capacity(), instance.dataCentre());
     return Optional.of(
-        new Change(
+        new Transaction(
             Map.of(election.at(), election.version(), REQUEST, version(rows.get(REQUEST))),
             Map.of(REQUEST, request.payload()),
             List.of()));
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
@@ -14,7 +14,7 @@
 
   private final String self;
   private final StoreClock clock = new StoreClock();
-  private long inheritedLapseMillis;
+  private long inheritedLeaseEndMillis;
 
   /**
    * Creates the writer of an instance that has inherited nothing.
@@ -43,15 +43,15 @@
    * @param changedMillis steady time at which we saw the row change, in milliseconds
    */
   void inherit(Optional<LeaseText> last, long changedMillis) {
-    inheritedLapseMillis = last.map(text -> lapse(text, changedMillis)).orElse(0L);
+    inheritedLeaseEndMillis = last.map(text -> lapse(text, changedMillis)).orElse(0L);
   }
 
   /**
    * Returns the steady time, in milliseconds, at which all leases have ended that earlier leaders
    * gave to workers: none lasts longer than its giver's last renewal allows.
    */
-  long inheritedLapseMillis() {
-    return inheritedLapseMillis;
+  long inheritedLeaseEndMillis() {
+    return inheritedLeaseEndMillis;
   }
 
   /**
@@ -98,6 +98,6 @@
 
   /** Returns how long leases may still last that leaders before this one gave. */
   private long inheritedMillis(Moment now) {
-    return inheritedLapseMillis - now.mono();
+    return inheritedLeaseEndMillis - now.mono();
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Adapter.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/PlatformAdapter.java
@@ -6,7 +6,7 @@
 import org.cottontack.adapters.http.HttpClient;
 
 /** Translates between a platform and an entry instance for jobs. */
-public interface Adapter {
+public interface PlatformAdapter {
 
   /** Returns the platform's store. */
   TableStore store(HttpClient http, Address address);
@@ -18,7 +18,7 @@
   WorkerRegistry registry(TableStore store, Timers timers);
 
   /** Returns what carries orders to workers. */
-  WorkerCalls workers(HttpClient http);
+  WorkerClient workers(HttpClient http);
 
   /** Returns what answers callers. */
   Consumer<HttpCall> callers(JobEntry entry);
--- a/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
@@ -85,10 +85,10 @@
       return;
     }
     store.commit(
-        Change.write(JobTables.FENCE, held.map(Row::version).orElse(0L), fence()),
+        Transaction.write(JobTables.FENCE, held.map(Row::version).orElse(0L), fence()),
         LONGEST_WAIT_MILLIS,
         answer -> {
-          if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+          if (answer.outcome() == CommitResult.Outcome.DONE) {
             fenceVersion = answer.version();
             done.accept(found(rows));
           } else {
@@ -127,7 +127,7 @@
     if (!save.learned().isEmpty()) {
       writes.put(JobTables.LEARNED, Payload.of(save.learned()));
     }
-    Change change = new Change(Map.of(JobTables.FENCE, fenceVersion), writes, List.of());
+    Transaction change = new Transaction(Map.of(JobTables.FENCE, fenceVersion), writes, List.of());
     commit(change, store.patienceMillis(), onSaved);
   }
 
@@ -135,13 +135,14 @@
    * Sends the same change until it is certainly stored. Without the fence row's version an
    * unanswered copy could be carried out after newer writes and bring an old state back.
    */
-  private void commit(Change change, long waitMillis, Runnable onSaved) {
+  private void commit(Transaction change, long waitMillis, Runnable onSaved) {
     if (!stopped) {
       store.commit(change, waitMillis, answer -> committed(change, waitMillis, onSaved, answer));
     }
   }
 
-  private void committed(Change change, long waitMillis, Runnable onSaved, CommitAnswer answer) {
+  private void committed(
+      Transaction change, long waitMillis, Runnable onSaved, CommitResult answer) {
     switch (answer.outcome()) {
       case DONE -> saved(answer.version(), onSaved);
       case REFUSED -> timers.after(PAUSE_MILLIS, () -> commit(change, waitMillis, onSaved));
@@ -151,7 +152,7 @@
     }
   }
 
-  private void conflict(CommitAnswer answer, Runnable onSaved) {
+  private void conflict(CommitResult answer, Runnable onSaved) {
     Row fence = answer.current(JobTables.FENCE).orElse(null);
     if (fence != null && fence.text().equals(fence())) {
       saved(fence.version(), onSaved);
--- a/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
@@ -137,21 +137,21 @@
   private void removeOrphans(List<Row> rows) {
     Map<RowKey, Long> versions = rows.stream().collect(Collectors.toMap(Row::at, Row::version));
     store.commit(
-        new Change(versions, Map.of(), List.copyOf(versions.keySet())),
+        new Transaction(versions, Map.of(), List.copyOf(versions.keySet())),
         ANSWER_MILLIS,
         answer -> {
-          if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+          if (answer.outcome() == CommitResult.Outcome.DONE) {
             log("cancels.removed", rows.stream().map(Row::key).toList());
           } else {
             rows.stream()
                 .filter(
-                    row -> answer.outcome() != CommitAnswer.Outcome.CONFLICT || same(row, answer))
+                    row -> answer.outcome() != CommitResult.Outcome.CONFLICT || same(row, answer))
                 .forEach(row -> leaving.putIfAbsent(row.at(), row));
           }
         });
   }
 
-  private static boolean same(Row row, CommitAnswer answer) {
+  private static boolean same(Row row, CommitResult answer) {
     return answer.current(row.at()).stream().anyMatch(now -> now.version() == row.version());
   }
 
@@ -172,10 +172,10 @@
 
   private void remove(List<RowKey> rows, List<JobId> jobs, Runnable then) {
     store.commit(
-        new Change(Map.of(), Map.of(), rows),
+        new Transaction(Map.of(), Map.of(), rows),
         ANSWER_MILLIS,
         answer -> {
-          if (answer.outcome() == CommitAnswer.Outcome.DONE) {
+          if (answer.outcome() == CommitResult.Outcome.DONE) {
             then.run();
           } else {
             // Removing a row twice does nothing, so the whole job is tried again.
--- a/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
@@ -19,17 +19,17 @@
   void start(Consumer<JobTable> tables, Consumer<Set<DataCentreId>> evacuations);
 
   /** Returns when the source last answered, on our steady clock in milliseconds. */
-  long contactMillis();
+  long lastContactMillis();
 
   /**
    * Returns when the question was sent that the source answered last: all that the operator wanted
    * by then has been told.
    */
-  Moment asked();
+  Moment lastRequestSent();
 
   /**
    * Asks the source again at once where the time of day was set forward since it was asked last:
    * that answer will be old by its date.
    */
-  void askIfLeapt();
+  void refreshAfterClockJump();
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
@@ -12,20 +12,20 @@
 final class StartGate {
 
   private final Timers timers;
-  private final Map<StartNews, Supplier<Moment>> asked;
+  private final Map<FreshnessLimit, Supplier<Moment>> asked;
 
   /**
    * Creates a gate.
    *
    * @param asked when the question was sent that brought the last news of each kind
    */
-  StartGate(Timers timers, Map<StartNews, Supplier<Moment>> asked) {
+  StartGate(Timers timers, Map<FreshnessLimit, Supplier<Moment>> asked) {
     this.timers = timers;
     this.asked = Map.copyOf(asked);
   }
 
   /** Returns how old the last news of a kind is, in milliseconds. */
-  long ageMillis(StartNews news) {
+  long ageMillis(FreshnessLimit news) {
     return timers.now().longestSince(asked.get(news).get());
   }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
@@ -10,13 +10,13 @@
 public interface TableStore {
 
   /** Commits a transaction; an answer that does not come in time is {@code UNKNOWN}. */
-  void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done);
+  void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done);
 
   /** Reads all rows of a partition whose keys begin with a prefix. */
   void scan(String table, String part, String prefix, Consumer<Scan> done);
 
   /** Waits for changes of a table after a version. */
-  void follow(String table, long after, long waitMillis, Consumer<News> done);
+  void watch(String table, long after, long waitMillis, Consumer<Changes> done);
 
   /**
    * The rows of a partition.
@@ -44,7 +44,7 @@
    * @param rows the changed rows, in order
    * @param version where to continue
    */
-  record News(Outcome outcome, List<Row> rows, long version) {
+  record Changes(Outcome outcome, List<Row> rows, long version) {
 
     /** Whether a wait for changes was answered. */
     public enum Outcome {
@@ -57,7 +57,7 @@
     }
 
     /** Keeps the list immutable. */
-    public News {
+    public Changes {
       rows = List.copyOf(rows);
     }
 
@@ -67,8 +67,8 @@
     }
 
     /** Returns an answer without rows. */
-    public static News of(Outcome outcome) {
-      return new News(outcome, List.of(), 0);
+    public static Changes of(Outcome outcome) {
+      return new Changes(outcome, List.of(), 0);
     }
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Follower.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
@@ -18,9 +18,9 @@
  * versions, and removals that happened unseen are told too. A row that the listener cannot take is
  * logged and passed over. Confined to the event loop.
  */
-public final class Follower {
+public final class TableWatcher {
 
-  private static final Logger LOG = LogManager.getLogger(Follower.class);
+  private static final Logger LOG = LogManager.getLogger(TableWatcher.class);
 
   /** Longest wait for news, in milliseconds: bounds how long a dead connection goes unnoticed. */
   private static final long WAIT_MILLIS = 1_000;
@@ -51,7 +51,7 @@
   private long position;
   private Question open;
   private long questions;
-  private Moment asked = NEVER;
+  private Moment lastRequestSent = NEVER;
   private Moment telling = NEVER;
   private Moment answered = NEVER;
   private boolean failing;
@@ -64,7 +64,7 @@
    * @param listener gets each row that is new, changed or removed
    * @param onCurrent called after the first complete reading of the table
    */
-  public Follower(
+  public TableWatcher(
       TableStore store,
       Timers timers,
       String table,
@@ -86,7 +86,7 @@
    * @param millis least time from an answer with changes to the next question, in milliseconds
    * @return this
    */
-  public Follower inBatches(long millis) {
+  public TableWatcher withMinInterval(long millis) {
     gapMillis = millis;
     return this;
   }
@@ -98,7 +98,7 @@
    * @param millis longest wait for a change, in milliseconds
    * @return this
    */
-  public Follower withMaxWait(long millis) {
+  public TableWatcher withMaxWait(long millis) {
     waitMillis = millis;
     catchUpWaitMillis = SHORTEST_WAIT_MILLIS;
     return this;
@@ -115,7 +115,7 @@
   }
 
   /** Returns when the store last answered, on our steady clock. */
-  public long contactMillis() {
+  public long lastContactMillis() {
     return answered.mono();
   }
 
@@ -123,8 +123,8 @@
    * Returns when the question was sent that the store answered last: every change that was in the
    * store by then has been told.
    */
-  public Moment asked() {
-    return asked;
+  public Moment lastRequestSent() {
+    return lastRequestSent;
   }
 
   /** Returns when the question was sent whose answer is being told, or was told last. */
@@ -171,7 +171,7 @@
     vanished.forEach(key -> tell(new Row(key, Payload.EMPTY, version, true)));
     rows.forEach(this::tell);
     position = version;
-    asked = began;
+    lastRequestSent = began;
     if (!current) {
       current = true;
       onCurrent.run();
@@ -184,7 +184,7 @@
       questions++;
       Question question = new Question(timers.now(), questions);
       open = question;
-      store.follow(table, position, wait, news -> news(question, news));
+      store.watch(table, position, wait, news -> news(question, news));
     }
   }
 
@@ -197,7 +197,7 @@
    * Asks again without a wait where the time of day was set forward, or the process was suspended,
    * since the question under way was sent: its answer will be old by its date.
    */
-  public void askIfLeapt() {
+  public void refreshAfterClockJump() {
     if (open != null && leapt(open.sent())) {
       follow(SHORTEST_WAIT_MILLIS);
     }
@@ -208,7 +208,7 @@
     return now.wall() - since.wall() > now.mono() - since.mono() + waitMillis;
   }
 
-  private void news(Question question, TableStore.News news) {
+  private void news(Question question, TableStore.Changes news) {
     if (stopped || !question.equals(open)) {
       return;
     }
@@ -218,11 +218,11 @@
         heard(question.sent());
         news.rows().stream().filter(row -> parts.contains(row.at().part())).forEach(this::tell);
         position = Math.max(position, news.version());
-        asked = question.sent();
+        lastRequestSent = question.sent();
         if (gapMillis > 0 && !news.rows().isEmpty()) {
           timers.after(gapMillis, () -> follow(waitMillis));
         } else {
-          follow(old(asked) ? SHORTEST_WAIT_MILLIS : waitMillis);
+          follow(old(lastRequestSent) ? SHORTEST_WAIT_MILLIS : waitMillis);
         }
       }
       case FORGOTTEN -> {
--- a/daemon/src/main/java/org/cottontack/daemon/job/Change.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Transaction.java
@@ -11,18 +11,18 @@
  * @param writes new contents
  * @param removals rows to remove
  */
-public record Change(
+public record Transaction(
     Map<RowKey, Long> expected, Map<RowKey, Payload> writes, List<RowKey> removals) {
 
   /** Keeps the collections immutable. */
-  public Change {
+  public Transaction {
     expected = Map.copyOf(expected);
     writes = Map.copyOf(writes);
     removals = List.copyOf(removals);
   }
 
   /** Returns a change that writes one row if it has a version. */
-  public static Change write(RowKey row, long version, String text) {
-    return new Change(Map.of(row, version), Map.of(row, Payload.of(text)), List.of());
+  public static Transaction write(RowKey row, long version, String text) {
+    return new Transaction(Map.of(row, version), Map.of(row, Payload.of(text)), List.of());
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
@@ -68,7 +68,7 @@
     rows.stream().skip(some.size()).forEach(this::add);
     busy.add(part);
     store.commit(
-        new Change(Map.of(), Map.of(), some),
+        new Transaction(Map.of(), Map.of(), some),
         ANSWER_MILLIS,
         answer -> {
           busy.remove(part);
@@ -77,8 +77,8 @@
   }
 
   /** A row that stays would count its job as waiting for good, so a removal is tried until done. */
-  private void removed(List<RowKey> rows, CommitAnswer answer) {
-    if (answer.outcome() != CommitAnswer.Outcome.DONE) {
+  private void removed(List<RowKey> rows, CommitResult answer) {
+    if (answer.outcome() != CommitResult.Outcome.DONE) {
       rows.forEach(this::add);
     }
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
@@ -132,8 +132,8 @@
   }
 
   @Override
-  public void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done) {
-    store.commit(change, timeoutMillis, watched(0, CommitAnswer::served, done));
+  public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
+    store.commit(change, timeoutMillis, watched(0, CommitResult::served, done));
   }
 
   @Override
@@ -142,8 +142,8 @@
   }
 
   @Override
-  public void follow(String table, long after, long waitMillis, Consumer<News> done) {
-    store.follow(table, after, waitMillis, watched(waitMillis, News::answered, done));
+  public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
+    store.watch(table, after, waitMillis, watched(waitMillis, Changes::answered, done));
   }
 
   /** Returns whether the store serves no call of this instance, as far as that is known. */
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerCalls.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerClient.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import org.cottontack.core.job.JobEffect;
 import org.cottontack.core.job.StartResult;
-import org.cottontack.core.job.WorkerLife;
+import org.cottontack.core.job.WorkerIncarnation;
 import org.cottontack.core.job.WorkerReport;
 
 /**
@@ -12,7 +12,7 @@
  * nothing for a lower one than it has seen. Each consumer gets exactly one answer, on the event
  * loop.
  */
-public interface WorkerCalls {
+public interface WorkerClient {
 
   /** Starts a run; {@code allowed} is asked again right before the order leaves. */
   void start(
@@ -22,7 +22,8 @@
   void stop(JobEffect.StopRun stop, long epoch, Consumer<Boolean> done);
 
   /** Looks at a worker and renews the lease of what runs there. */
-  void look(JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<Look> done);
+  void poll(
+      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done);
 
   /** Sets the pace of a run; the consumer gets whether the worker answered that it did. */
   void pace(JobEffect.PaceRun pace, long epoch, Consumer<Boolean> done);
@@ -33,10 +34,11 @@
    * @param outcome how it went
    * @param report what the worker says, empty unless it answered
    */
-  record Look(Outcome outcome, WorkerReport report) {
+  record PollResult(Outcome outcome, WorkerReport report) {
 
     private static final WorkerReport NOTHING =
-        new WorkerReport(WorkerLife.UNSTATED, 0, java.util.List.of(), java.util.List.of());
+        new WorkerReport(
+            WorkerIncarnation.UNKNOWN_START_TIME, 0, java.util.List.of(), java.util.List.of());
 
     /** How a look goes. */
     public enum Outcome {
@@ -51,8 +53,8 @@
     }
 
     /** Returns a look without a report. */
-    public static Look of(Outcome outcome) {
-      return new Look(outcome, NOTHING);
+    public static PollResult of(Outcome outcome) {
+      return new PollResult(outcome, NOTHING);
     }
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
@@ -18,7 +18,7 @@
    * @param listener gets {@link JobEvent.WorkerSeen} and {@link JobEvent.WorkerUnlisted}
    * @param onCurrent called after the first complete reading
    */
-  Follower follower(Consumer<JobEvent> listener, Runnable onCurrent);
+  TableWatcher watcher(Consumer<JobEvent> listener, Runnable onCurrent);
 
   /** Tells the list as it was last read. */
   void replay(Consumer<JobEvent> listener);
--- a/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
@@ -1,6 +1,6 @@
 package org.cottontack.daemon.job;
 
-import static org.cottontack.daemon.job.LeaderLab.job;
+import static org.cottontack.daemon.job.LeaderSimulation.job;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -43,7 +43,7 @@
     /** Guards against a cancellation that is told before its job and forgotten beside old ones. */
     @Test
     public void startsNothingOfJobsThatCancellationsOvertook() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       Map<RowKey, Payload> rows = new HashMap<>();
       for (int i = 0; i < 20_000; i++) {
         JobId ended = new JobId("ended" + i);
@@ -86,7 +86,7 @@
     }
 
     private static String faultBeside(long lateMillis, Takeover when) {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       List<Long> acknowledged = new ArrayList<>();
       lab.entry
           .intake()
@@ -127,7 +127,7 @@
     /** Guards against work of a job whose cancellation without it is news after the job is. */
     @Test
     public void endsJobsThatAreKnownBeforeTheirCancellation() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.submit("a");
       lab.time.run(1_000);
       assertEquals(lab.running.size(), 1);
@@ -139,7 +139,7 @@
     /** Guards against cancellations of any identifiers that drive out those that overtook jobs. */
     @Test
     public void keepsCancellationsBesideManyOfNoJob() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       List<String> overtaken = IntStream.range(0, 40).mapToObj(i -> "job" + i).toList();
       Map<RowKey, Payload> early = new HashMap<>();
       overtaken.forEach(id -> early.put(JobTables.cancel(new JobId(id)), Payload.of("1")));
@@ -156,11 +156,12 @@
     /** Guards against the end of a job that was submitted after its cancellation was removed. */
     @Test
     public void runsJobsWhoseCancellationIsGone() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
       lab.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
       lab.time.run(1_000);
-      Change removal = new Change(Map.of(), Map.of(), List.of(JobTables.cancel(new JobId("a"))));
+      Transaction removal =
+          new Transaction(Map.of(), Map.of(), List.of(JobTables.cancel(new JobId("a"))));
       lab.store.seenBy(lab.process, call -> true).commit(removal, 1_000, answer -> {});
       lab.time.run(500);
       lab.submit("a");
@@ -175,7 +176,7 @@
     /** Guards against a job that starts again since its cancellation was removed before it. */
     @Test
     public void keepsCancellationsUntilTheirJobGoes() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.write(JobTables.cancel(new JobId("a")), "0");
       lab.time.run(115_000);
       lab.write(submission("a"));
@@ -191,7 +192,7 @@
     /** Guards against rows of cancellations without a job that stay since their leader is gone. */
     @Test
     public void removesCancellationsWithoutJobs() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
       lab.time.run(1_000);
       lab.restart();
@@ -204,7 +205,7 @@
     }
 
     private static boolean startsLate(long lateMillis) {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       RowKey row = JobTables.job(new JobId("a"));
       lab.store.lateMillis = lateMillis;
       lab.store.fate =
@@ -250,7 +251,7 @@
     private static final class Scene {
       private static final long LONGEST_MILLIS = 20_000;
 
-      private final LeaderLab lab = new LeaderLab();
+      private final LeaderSimulation lab = new LeaderSimulation();
       private final Random random;
       private final VirtualTimers.View callers = lab.time.process();
       private final Map<JobId, Long> acknowledged = new HashMap<>();
@@ -261,7 +262,7 @@
         IntStream.range(0, JOBS).mapToObj(i -> "job" + i).forEach(this::plan);
       }
 
-      private FakeTableStore.Fate fate(Change change) {
+      private FakeTableStore.Fate fate(Transaction change) {
         lab.store.lateMillis = 50L + random.nextInt(10_000);
         boolean leading =
             change.writes().keySet().stream().anyMatch(row -> !row.part().startsWith("intake"));
--- a/daemon/src/test/java/org/cottontack/daemon/job/ElectionLab.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/ElectionSimulation.java
@@ -5,7 +5,7 @@
 import org.cottontack.core.job.Capacity;
 
 /** Candidates for the lead that share a store, in virtual time. */
-final class ElectionLab {
+final class ElectionSimulation {
 
   static final Capacity SMALL = new Capacity(360, 10_000);
   static final Capacity LARGE = new Capacity(1_500, 200_000);
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public boolean mayMakeWay(String dataCentre) {
+    public boolean mayYieldLeadershipTo(String dataCentre) {
       return !dataCentre.equals(hidden);
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
@@ -37,14 +37,14 @@
     LATE
   }
 
-  private record Waiting(String table, long after, Consumer<TableStore.News> done) {}
+  private record Waiting(String table, long after, Consumer<TableStore.Changes> done) {}
 
   private final VirtualTimers.View self;
   private final Map<RowKey, Row> rows = new LinkedHashMap<>();
   private final List<Row> history = new ArrayList<>();
   private final List<Waiting> waiting = new ArrayList<>();
   private long version = 1;
-  Function<Change, Fate> fate = change -> Fate.GOOD;
+  Function<Transaction, Fate> fate = change -> Fate.GOOD;
 
   /** When a late transaction is done, in milliseconds after its call. */
   long lateMillis = 3_000;
@@ -89,15 +89,15 @@
     }
 
     @Override
-    public void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done) {
+    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
       if (!reachable.test("commit")) {
-        process.after(timeoutMillis, () -> done.accept(answer(CommitAnswer.Outcome.UNKNOWN)));
+        process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         return;
       }
       switch (fate.apply(change)) {
         case GOOD -> {
           boolean[] told = {false};
-          Consumer<CommitAnswer> once =
+          Consumer<CommitResult> once =
               answer -> {
                 if (!told[0]) {
                   told[0] = true;
@@ -107,27 +107,27 @@
           self.after(
               turnMillis(change),
               () -> {
-                CommitAnswer answer = apply(change);
+                CommitResult answer = apply(change);
                 process.after(0, () -> once.accept(answer));
               });
-          process.after(timeoutMillis, () -> once.accept(answer(CommitAnswer.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> once.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
         case REFUSED ->
-            process.after(ANSWER_MILLIS, () -> done.accept(answer(CommitAnswer.Outcome.REFUSED)));
+            process.after(ANSWER_MILLIS, () -> done.accept(answer(CommitResult.Outcome.REFUSED)));
         case ANSWER_LOST -> {
           self.after(ANSWER_MILLIS, () -> apply(change));
-          process.after(timeoutMillis, () -> done.accept(answer(CommitAnswer.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
         case LATE -> {
           self.after(lateMillis, () -> apply(change));
-          process.after(timeoutMillis, () -> done.accept(answer(CommitAnswer.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
         default -> throw new IllegalStateException("no such fate");
       }
     }
 
-    private CommitAnswer answer(CommitAnswer.Outcome outcome) {
-      return CommitAnswer.of(outcome);
+    private CommitResult answer(CommitResult.Outcome outcome) {
+      return CommitResult.of(outcome);
     }
 
     @Override
@@ -164,19 +164,20 @@
     }
 
     @Override
-    public void follow(String table, long after, long waitMillis, Consumer<News> done) {
+    public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
       if (!reachable.test("follow " + table)) {
         process.after(
-            waitMillis + FOLLOW_SLACK_MILLIS, () -> done.accept(News.of(News.Outcome.FAILED)));
+            waitMillis + FOLLOW_SLACK_MILLIS,
+            () -> done.accept(Changes.of(Changes.Outcome.FAILED)));
         return;
       }
       long latest = self.now().mono() + waitMillis + FOLLOW_SLACK_MILLIS;
       boolean[] told = {false};
-      Consumer<News> once =
+      Consumer<Changes> once =
           news -> {
             if (!told[0]) {
               told[0] = true;
-              deliver("follow " + table, latest, news, News.of(News.Outcome.FAILED), done);
+              deliver("follow " + table, latest, news, Changes.of(Changes.Outcome.FAILED), done);
             }
           };
       Waiting wait = new Waiting(table, after, once);
@@ -194,12 +195,12 @@
           waitMillis,
           () -> {
             waiting.remove(wait);
-            wait.done().accept(new News(News.Outcome.CURRENT, List.of(), version));
+            wait.done().accept(new Changes(Changes.Outcome.CURRENT, List.of(), version));
           });
     }
   }
 
-  private long turnMillis(Change change) {
+  private long turnMillis(Transaction change) {
     transactions++;
     String part =
         Stream.concat(change.writes().keySet().stream(), change.removals().stream())
@@ -212,13 +213,13 @@
     return end - now;
   }
 
-  private CommitAnswer apply(Change change) {
+  private CommitResult apply(Transaction change) {
     boolean holds =
         change.expected().entrySet().stream().allMatch(e -> versionOf(e.getKey()) == e.getValue());
     if (!holds) {
       List<Row> current = change.expected().keySet().stream().map(rows::get).toList();
-      return new CommitAnswer(
-          CommitAnswer.Outcome.CONFLICT,
+      return new CommitResult(
+          CommitResult.Outcome.CONFLICT,
           0,
           current.stream().filter(Objects::nonNull).toList(),
           clock());
@@ -227,7 +228,7 @@
     change.writes().forEach((at, value) -> put(new Row(at, value, version, false)));
     change.removals().forEach(at -> put(new Row(at, Payload.EMPTY, version, true)));
     List.copyOf(waiting).forEach(this::tell);
-    return new CommitAnswer(CommitAnswer.Outcome.DONE, version, List.of(), clock());
+    return new CommitResult(CommitResult.Outcome.DONE, version, List.of(), clock());
   }
 
   /** The store's own steady clock: it began long before the instances. */
@@ -256,7 +257,7 @@
             .toList();
     if (!news.isEmpty()) {
       waiting.remove(wait);
-      wait.done().accept(new TableStore.News(TableStore.News.Outcome.CURRENT, news, version));
+      wait.done().accept(new TableStore.Changes(TableStore.Changes.Outcome.CURRENT, news, version));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/HangupTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/HangupSignalTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of the signal that says that the settings have changed. */
-public class HangupTest {
+public class HangupSignalTest {
 
   /** The signal's effect on the process. */
   public static class Handling {
@@ -22,7 +22,7 @@
     @Test
     public void runsTheActionInsteadOfEndingTheProcess() throws Exception {
       CountDownLatch called = new CountDownLatch(1);
-      Hangup.handle(called::countDown);
+      HangupSignal.handle(called::countDown);
       long pid = ProcessHandle.current().pid();
       int exit = new ProcessBuilder("kill", "-HUP", Long.toString(pid)).start().waitFor();
       assertEquals(exit, 0);
--- a/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
@@ -1,14 +1,14 @@
 package org.cottontack.daemon.job;
 
-import static org.cottontack.daemon.job.ElectionLab.LARGE;
-import static org.cottontack.daemon.job.ElectionLab.SMALL;
+import static org.cottontack.daemon.job.ElectionSimulation.LARGE;
+import static org.cottontack.daemon.job.ElectionSimulation.SMALL;
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
 import java.util.Map;
 import org.cottontack.core.job.LeaderLease;
 import org.cottontack.core.peer.Payload;
-import org.cottontack.daemon.job.ElectionLab.Candidate;
+import org.cottontack.daemon.job.ElectionSimulation.Candidate;
 import org.testng.annotations.Test;
 
 /** Tests of how long a leader waits for the leases that leaders before it gave to workers. */
@@ -22,14 +22,14 @@
     /** The last renewal came at most 0.5 s before the death, and news of it 20 ms later. */
     private static void assertCountedFrom(long death, Candidate next) {
       assertTrue(next.leadership.leading());
-      long after = next.leadership.inheritedLapseMillis() - death;
+      long after = next.leadership.inheritedLeaseEndMillis() - death;
       assertTrue(after <= LeaderLease.GRANT_MILLIS + 20, "after " + after);
       assertTrue(after >= LeaderLease.GRANT_MILLIS - 500, "after " + after);
     }
 
     private static void assertWaitsFor(long given, Candidate next) {
       assertTrue(next.leadership.leading());
-      long lapse = next.leadership.inheritedLapseMillis();
+      long lapse = next.leadership.inheritedLeaseEndMillis();
       assertTrue(lapse >= given, "too early by " + (given - lapse));
     }
 
@@ -44,7 +44,7 @@
      */
     @Test
     public void countsInheritedLeasesFromTheLastRenewal() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -61,7 +61,7 @@
      */
     @Test
     public void countsInheritedLeasesFromBeforeItsOwnLife() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(4_000);
       first.timers.killed = true;
@@ -78,22 +78,22 @@
      */
     @Test
     public void waitsForLongerLeasesOfAnOlderVersion() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       RowKey row = new RowKey(JobTables.LEADER, "leader", "lease");
-      Change old = new Change(Map.of(), Map.of(row, Payload.of("old/1 17")), List.of());
+      Transaction old = new Transaction(Map.of(), Map.of(row, Payload.of("old/1 17")), List.of());
       lab.store.seenBy(lab.time.process(), call -> true).commit(old, 1_000, answer -> {});
       lab.time.run(100);
       Candidate first = lab.candidate("a", 1);
       final long seen = first.timers.now().mono();
       lab.time.run(4_000);
       assertTrue(first.leadership.leading());
-      long lapse = first.leadership.inheritedLapseMillis();
+      long lapse = first.leadership.inheritedLeaseEndMillis();
       assertTrue(lapse >= seen + LeaseText.UNSTATED_GRANT_MILLIS, "after " + (lapse - seen));
       final Candidate second = lab.candidate("b", 1);
       first.leadership.leave(() -> {});
       lab.time.run(500);
       assertTrue(second.leadership.leading());
-      assertTrue(second.leadership.inheritedLapseMillis() >= lapse);
+      assertTrue(second.leadership.inheritedLeaseEndMillis() >= lapse);
     }
 
     /**
@@ -103,7 +103,7 @@
      */
     @Test
     public void lateRenewalsSayNoOldTime() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -135,7 +135,7 @@
      */
     @Test
     public void lateTakeoversCountFromTheFirstAttempt() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       long[] at = {0};
       lab.store.fate =
           change -> {
@@ -168,7 +168,7 @@
      */
     @Test
     public void makingWayBeforeItBeganKeepsTheWait() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = lab.candidate(new Instance("a", "dc", LARGE), 1);
       lab.time.run(1_000);
       final Candidate small = lab.candidate(new Instance("b", "dc", SMALL), 1);
--- a/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
@@ -152,7 +152,7 @@
         store = new WatchedStore(lab.store.seenBy(process, call -> !cut), process);
         intake =
             new JobEntry(TestJobs.INSTANCE, 120_000, store, process, null, null, null).intake();
-        new Follower(store, process, "op", List.of(""), row -> {}, () -> {}).start();
+        new TableWatcher(store, process, "op", List.of(""), row -> {}, () -> {}).start();
       }
 
       void run(long millis) {
@@ -285,8 +285,8 @@
     public void answersBesideProgressThatItCannotRead() {
       Lab lab = new Lab();
       VirtualTimers.View process = lab.time.process();
-      Change change =
-          new Change(Map.of(), Map.of(JobTables.progress(ID), Payload.of("?")), List.of());
+      Transaction change =
+          new Transaction(Map.of(), Map.of(JobTables.progress(ID), Payload.of("?")), List.of());
       lab.store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
       lab.time.run(100);
       List<Intake.State> states = new ArrayList<>();
@@ -371,7 +371,7 @@
       lab.instance().cancel(ID, OptionalLong.of(500), lab.answers::add);
       lab.time.run(1_000);
       VirtualTimers.View process = lab.time.process();
-      Change removal = new Change(Map.of(), Map.of(), List.of(JobTables.job(ID)));
+      Transaction removal = new Transaction(Map.of(), Map.of(), List.of(JobTables.job(ID)));
       lab.store.seenBy(process, call -> true).commit(removal, 1_000, answer -> {});
       lab.time.run(10_000);
       assertEquals(lab.answers.get(1), Intake.Answer.UNKNOWN);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateNewsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateNewsTest.java
@@ -27,7 +27,7 @@
   private interface Trouble {
 
     /** Arranges for it, and returns in how many milliseconds it begins. */
-    long begin(StartsLab lab, Random random);
+    long begin(StartsSimulation lab, Random random);
   }
 
   /** Checks that nothing starts too long after a row is in the store, whatever the seed. */
@@ -42,7 +42,7 @@
 
   private static String late(int seed, RowKey row, long boundMillis, Trouble trouble) {
     Random random = new Random(seed);
-    StartsLab lab = new StartsLab();
+    StartsSimulation lab = new StartsSimulation();
     lab.time.run(500 + random.nextInt(2_000));
     assertTrue(!lab.starts.isEmpty(), "nothing started in seed " + seed);
     long begins = trouble.begin(lab, random);
@@ -53,7 +53,7 @@
   }
 
   /** Has one answer of a kind held from a time on, and later ones lost for five seconds more. */
-  private static void hold(StartsLab lab, String call, long fromMillis, long heldMillis) {
+  private static void hold(StartsSimulation lab, String call, long fromMillis, long heldMillis) {
     long from = lab.time.now() + fromMillis;
     long until = from + heldMillis + 5_000;
     boolean[] first = {true};
@@ -70,7 +70,7 @@
   }
 
   /** One answer lies on its way, and the connection is silent afterwards. */
-  private static long held(StartsLab lab, String table, Random random) {
+  private static long held(StartsSimulation lab, String table, Random random) {
     long begins = random.nextInt(1_000);
     lab.writeOthers(20 + random.nextInt(300), 3_000);
     hold(lab, "follow " + table, begins, random.nextInt(1_700));
@@ -78,7 +78,7 @@
   }
 
   /** Another process takes over; each page of a table takes long, and news of it is lost. */
-  private static long readSlowly(StartsLab lab, String table, Random random) {
+  private static long readSlowly(StartsSimulation lab, String table, Random random) {
     long page = random.nextInt(1_400);
     long until = lab.time.now() + 9_000;
     lab.store.heldMillis =
@@ -91,7 +91,7 @@
   }
 
   /** The process stands still, with or without its steady clock, and is cut off afterwards. */
-  private static long pause(StartsLab lab, String table, Random random) {
+  private static long pause(StartsSimulation lab, String table, Random random) {
     long begins = random.nextInt(1_000);
     long pause = 500L + random.nextInt(5_000);
     boolean clockToo = random.nextBoolean();
@@ -102,7 +102,7 @@
   }
 
   /** The time of day is set forward or back, and answers are late afterwards. */
-  private static long leap(StartsLab lab, String table, Random random) {
+  private static long leap(StartsSimulation lab, String table, Random random) {
     long begins = random.nextInt(1_000);
     long leap = random.nextInt(12_000) - 6_000L;
     lab.writeOthers(20 + random.nextInt(1_500), 3_000);
@@ -115,7 +115,7 @@
   public static class Cancelling {
 
     private static void check(Trouble trouble) {
-      LateNewsTest.check(StartsLab.CANCEL, CANCEL_MILLIS, trouble);
+      LateNewsTest.check(StartsSimulation.CANCEL, CANCEL_MILLIS, trouble);
     }
 
     /** Guards against starts that rely on an answer which lay on its way for a second. */
@@ -150,7 +150,7 @@
     private static final long EVACUATE_MILLIS = 5_000;
 
     private static void check(Trouble trouble) {
-      LateNewsTest.check(StartsLab.EVACUATION, EVACUATE_MILLIS, trouble);
+      LateNewsTest.check(StartsSimulation.EVACUATION, EVACUATE_MILLIS, trouble);
     }
 
     /** Guards against starts that rely on an answer which lay on its way for a second. */
@@ -196,25 +196,25 @@
     private static final long DRAIN_MILLIS = 2_000;
 
     private static void check(Trouble trouble) {
-      LateNewsTest.check(StartsLab.DRAIN, DRAIN_MILLIS, trouble);
+      LateNewsTest.check(StartsSimulation.DRAIN, DRAIN_MILLIS, trouble);
     }
 
     /** Guards against starts that rely on an answer which lay on its way for a second. */
     @Test
     public void startsNothingLateAfterHeldAnswers() {
-      check((lab, random) -> held(lab, StartsLab.DRAIN.table(), random));
+      check((lab, random) -> held(lab, StartsSimulation.DRAIN.table(), random));
     }
 
     /** Guards against starts that rely on a list that was read long ago. */
     @Test
     public void startsNothingLateAfterSlowReadings() {
-      check((lab, random) -> readSlowly(lab, StartsLab.DRAIN.table(), random));
+      check((lab, random) -> readSlowly(lab, StartsSimulation.DRAIN.table(), random));
     }
 
     /** Guards against starts that rely on what was heard before the process stood still. */
     @Test
     public void startsNothingLateAfterPauses() {
-      check((lab, random) -> pause(lab, StartsLab.DRAIN.table(), random));
+      check((lab, random) -> pause(lab, StartsSimulation.DRAIN.table(), random));
     }
 
     /** Guards against orders that are carried out long after they left. */
@@ -239,7 +239,7 @@
     @Test
     public void nothingBeginsLateByHeldOrders() {
       LateNewsTest.check(
-          StartsLab.CANCEL,
+          StartsSimulation.CANCEL,
           CANCEL_MILLIS,
           (lab, random) -> {
             long begins = random.nextInt(1_000);
@@ -252,7 +252,7 @@
     @Test
     public void nothingLeavesThatWaitedForItsConnection() {
       LateNewsTest.check(
-          StartsLab.CANCEL,
+          StartsSimulation.CANCEL,
           HEARD_MILLIS,
           (lab, random) -> {
             lab.connectMillis = random.nextInt(1_000);
@@ -272,8 +272,8 @@
     /** Longest time without a start, in milliseconds: a renewal, and what a start takes. */
     private static final long PAUSE_MILLIS = 570;
 
-    private static StartsLab runs(long readMillis, long transactionMillis) {
-      StartsLab lab = new StartsLab();
+    private static StartsSimulation runs(long readMillis, long transactionMillis) {
+      StartsSimulation lab = new StartsSimulation();
       lab.store.readMillis = readMillis;
       lab.store.transactionMillis = transactionMillis;
       lab.time.run(20_000);
@@ -283,7 +283,7 @@
     /** Guards against starts that wait for news although the store answers at once. */
     @Test
     public void holdsNothingBack() {
-      StartsLab lab = runs(4, 10);
+      StartsSimulation lab = runs(4, 10);
       assertEquals(lab.heldBack, 0);
       assertTrue(lab.starts.size() > 100, "starts: " + lab.starts.size());
     }
@@ -291,13 +291,13 @@
     /** Guards against starts that wait for news whenever the store is slow. */
     @Test
     public void holdsNothingBackAtSlowStores() {
-      StartsLab lab = runs(240, 500);
+      StartsSimulation lab = runs(240, 500);
       assertEquals(lab.heldBack, 0);
       assertTrue(lab.starts.size() > 20, "starts: " + lab.starts.size());
     }
 
     private static void loseOne(String table, long millis) {
-      StartsLab lab = new StartsLab();
+      StartsSimulation lab = new StartsSimulation();
       hold(lab, "follow " + table, 500, LOST_MILLIS);
       lab.time.run(millis);
       lab.store.heldMillis = call -> 0;
@@ -326,7 +326,7 @@
     }
 
     private static long pause(long leapMillis, long offsetMillis) {
-      StartsLab lab = new StartsLab();
+      StartsSimulation lab = new StartsSimulation();
       lab.time.run(5_000 + offsetMillis);
       long from = lab.time.now();
       lab.process.leapMillis = leapMillis;
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderLab.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
@@ -19,13 +19,13 @@
 import org.cottontack.core.job.Resources;
 import org.cottontack.core.job.RunKey;
 import org.cottontack.core.job.StartResult;
+import org.cottontack.core.job.WorkerIncarnation;
 import org.cottontack.core.job.WorkerInfo;
-import org.cottontack.core.job.WorkerLife;
 import org.cottontack.core.job.WorkerReport;
 import org.cottontack.core.peer.Payload;
 
 /** One instance over a fake store, with one worker that runs everything for ever. */
-final class LeaderLab implements WorkerRegistry, WorkerCalls {
+final class LeaderSimulation implements WorkerRegistry, WorkerClient {
   /** Returns a job of one task. */
   static JobSpec job(String id) {
     return TestJobs.job(new JobId(id), 1);
@@ -52,7 +52,7 @@
 
   JobEntry entry;
 
-  LeaderLab() {
+  LeaderSimulation() {
     restart();
   }
 
@@ -72,7 +72,7 @@
   }
 
   void write(Map<RowKey, Payload> rows) {
-    Change change = new Change(Map.of(), rows, List.of());
+    Transaction change = new Transaction(Map.of(), rows, List.of());
     store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
     time.run(100);
   }
@@ -91,24 +91,24 @@
       }
 
       @Override
-      public long contactMillis() {
-        return asked().mono();
+      public long lastContactMillis() {
+        return lastRequestSent().mono();
       }
 
       @Override
-      public Moment asked() {
+      public Moment lastRequestSent() {
         return rulesMillis > 0 ? new Moment(rulesMillis, rulesMillis) : process.now();
       }
 
       @Override
-      public void askIfLeapt() {}
+      public void refreshAfterClockJump() {}
     };
   }
 
   @Override
-  public Follower follower(Consumer<JobEvent> listener, Runnable onCurrent) {
+  public TableWatcher watcher(Consumer<JobEvent> listener, Runnable onCurrent) {
     TableStore seen = store.seenBy(process, call -> true);
-    return new Follower(seen, process, "workers", List.of("all"), row -> {}, onCurrent);
+    return new TableWatcher(seen, process, "workers", List.of("all"), row -> {}, onCurrent);
   }
 
   @Override
@@ -116,7 +116,7 @@
     listener.accept(
         new JobEvent.WorkerSeen(
             new WorkerInfo(
-                WorkerLife.only(new WorkerId("w")),
+                WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")),
                 "pool",
                 "w:1",
                 new DataCentreId("dc"),
@@ -154,8 +154,8 @@
   }
 
   @Override
-  public void look(
-      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<Look> done) {
+  public void poll(
+      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
     process.after(
         Math.max(2, look.waitMillis()),
         () -> {
@@ -165,9 +165,9 @@
                   .map(run -> new WorkerReport.Running(run.task(), run.run(), "", 100, 0))
                   .toList();
           done.accept(
-              new Look(
-                  Look.Outcome.ANSWERED,
-                  new WorkerReport(WorkerLife.UNSTATED, clock, list, List.of())));
+              new PollResult(
+                  PollResult.Outcome.ANSWERED,
+                  new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, clock, list, List.of())));
         });
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
@@ -19,7 +19,7 @@
 
     @Test
     public void startsWhatIsSubmitted() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.submit("a");
       lab.time.run(500);
       assertEquals(lab.starts.size(), 1);
@@ -34,7 +34,7 @@
      */
     @Test
     public void startsNothingWithoutNewsOfCancellations() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.hidden = "follow " + JobTables.CANCELS;
       lab.time.run(4_000);
       lab.submit("a");
@@ -54,7 +54,7 @@
     /** Guards against a first start by a leader that took over after the operator's request. */
     @Test
     public void startsNothingThereAfterTakingOver() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.evacuated = HERE;
       lab.restart();
       lab.time.run(10_000);
@@ -70,7 +70,7 @@
     /** Guards against an order that still waits for its connection when the request comes. */
     @Test
     public void sendsNoOrderThatWaitedForItsConnection() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.connectMillis = 200;
       lab.submit("a");
       lab.time.run(100);
@@ -82,7 +82,7 @@
     /** Guards against starts by a leader that no longer hears the operator. */
     @Test
     public void startsNothingWithoutNewsOfEvacuations() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.rulesMillis = lab.process.now().mono();
       lab.time.run(4_000);
       lab.submit("a");
@@ -103,7 +103,7 @@
      */
     @Test
     public void goesOnBesideProgressThatItCannotRead() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.submit("a");
       lab.time.run(1_000);
       assertEquals(lab.starts.size(), 1);
@@ -123,7 +123,7 @@
      */
     @Test
     public void keepsOpenJobsThatItCannotRead() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.submit("a");
       lab.time.run(1_000);
       RowKey row = JobTables.job(new JobId("a"));
@@ -140,7 +140,7 @@
      */
     @Test
     public void lateCopiesOfSavesChangeNothing() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       boolean[] first = {true};
       lab.store.fate =
           change -> {
@@ -164,7 +164,7 @@
     /** The answer to a save is lost though it is done: the leader goes on, and starts once. */
     @Test
     public void goesOnWhenTheAnswerToSavesIsLost() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       boolean[] first = {true};
       lab.store.fate =
           change -> {
@@ -197,7 +197,7 @@
       public void lost() {}
 
       @Override
-      public boolean mayMakeWay(String dataCentre) {
+      public boolean mayYieldLeadershipTo(String dataCentre) {
         return true;
       }
     }
@@ -208,7 +208,7 @@
      */
     @Test
     public void makesWayWhileTakingOver() {
-      LeaderLab lab = new LeaderLab();
+      LeaderSimulation lab = new LeaderSimulation();
       lab.hidden = "scan " + JobTables.PROGRESS;
       lab.restart();
       Asking large = new Asking();
