--- a/daemon/src/test/java/org/cottontack/daemon/job/SuccessionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.daemon.job;
 
-import static org.cottontack.daemon.job.ElectionLab.LARGE;
-import static org.cottontack.daemon.job.ElectionLab.SMALL;
+import static org.cottontack.daemon.job.ElectionSimulation.LARGE;
+import static org.cottontack.daemon.job.ElectionSimulation.SMALL;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
@@ -10,17 +10,17 @@
 import java.util.Map;
 import org.cottontack.core.job.Capacity;
 import org.cottontack.core.peer.Payload;
-import org.cottontack.daemon.job.ElectionLab.Candidate;
+import org.cottontack.daemon.job.ElectionSimulation.Candidate;
 import org.testng.annotations.Test;
 
 /** Tests of how the lead comes to an instance that can carry it. */
-public class SuccessionTest {
+public class LeadershipHandoverTest {
 
   /** Instances of different sizes. */
   public static class Sizes {
 
     private static Candidate with(
-        ElectionLab lab, String name, String dataCentre, Capacity capacity) {
+        ElectionSimulation lab, String name, String dataCentre, Capacity capacity) {
       return lab.candidate(new Instance(name, dataCentre, capacity), 1);
     }
 
@@ -32,7 +32,7 @@
     @Test
     public void largerInstancesLeadNext() {
       for (int round = 0; round < 20; round++) {
-        ElectionLab lab = new ElectionLab();
+        ElectionSimulation lab = new ElectionSimulation();
         final Candidate first = with(lab, "a", "dc", LARGE);
         lab.time.run(1_000);
         with(lab, "b", "dc", SMALL);
@@ -51,7 +51,7 @@
      */
     @Test
     public void smallLeadersMakeWayForLargerInstances() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate small = with(lab, "a", "dc", SMALL);
       lab.time.run(1_000);
       Candidate large = with(lab, "b", "dc", LARGE);
@@ -68,7 +68,7 @@
      */
     @Test
     public void smallInstancesLeadWhenNoLargerOneLives() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = with(lab, "a", "dc", LARGE);
       lab.time.run(1_000);
       final Candidate small = with(lab, "b", "dc", SMALL);
@@ -81,7 +81,7 @@
     /** Of equal instances none asks for the lead: the rows stay as the election wrote them. */
     @Test
     public void equalInstancesLeaveTheLeaderAlone() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = with(lab, "a", "dc", SMALL);
       lab.time.run(1_000);
       with(lab, "b", "dc", SMALL);
@@ -96,7 +96,7 @@
      */
     @Test
     public void keepsTheLeadFromInstancesThatMayBeCutOff() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate small = with(lab, "a", "open", SMALL);
       lab.time.run(1_000);
       small.hidden = "cut";
@@ -114,7 +114,7 @@
      */
     @Test
     public void doesNotAskSoonAfterLeadersWereCutOff() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate large = with(lab, "a", "cut", LARGE);
       lab.time.run(1_000);
       final Candidate small = with(lab, "b", "open", SMALL);
@@ -133,7 +133,7 @@
      */
     @Test
     public void leadsAgainWhenTheInstanceThatAskedHasDied() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate small = with(lab, "a", "dc", SMALL);
       lab.time.run(1_000);
       small.hidden = "dc";
@@ -152,7 +152,7 @@
     @Test
     public void standsBackForInstancesThatAskedInVain() {
       for (int round = 0; round < 20; round++) {
-        ElectionLab lab = new ElectionLab();
+        ElectionSimulation lab = new ElectionSimulation();
         final Candidate first = with(lab, "a", "dc", SMALL);
         lab.time.run(1_000);
         first.hidden = "dc";
@@ -171,7 +171,7 @@
      */
     @Test
     public void asksAgainInTheNextTerm() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate small = with(lab, "a", "dc", SMALL);
       lab.time.run(1_000);
       small.hidden = "dc";
@@ -190,15 +190,18 @@
      */
     @Test
     public void watchesOnBesideRowsThatCannotBeRead() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = with(lab, "a", "dc", SMALL);
       lab.time.run(1_000);
       final Candidate next = with(lab, "b", "dc", LARGE);
       Map<RowKey, Payload> odd =
           Map.of(
-              Succession.REQUEST, Payload.of("x 1 2 dc"), Succession.CAPACITY, Payload.of("x 1"));
+              LeadershipHandover.REQUEST,
+              Payload.of("x 1 2 dc"),
+              LeadershipHandover.CAPACITY,
+              Payload.of("x 1"));
       TableStore other = lab.store.seenBy(lab.time.process(), call -> true);
-      other.commit(new Change(Map.of(), odd, List.of()), 1_000, answer -> {});
+      other.commit(new Transaction(Map.of(), odd, List.of()), 1_000, answer -> {});
       lab.time.run(3_000);
       first.timers.killed = true;
       lab.time.run(3_500);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.cottontack.core.job.LeaderLease;
-import org.cottontack.daemon.job.ElectionLab.Candidate;
+import org.cottontack.daemon.job.ElectionSimulation.Candidate;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -19,7 +19,7 @@
 
     @Test
     public void exactlyOneOfManyLeads() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       List<Candidate> all =
           List.of(lab.candidate("a", 1), lab.candidate("b", 1), lab.candidate("c", 1));
       lab.time.run(10_000);
@@ -32,7 +32,7 @@
      */
     @Test
     public void leadsThoughTheAnswerWasLost() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       boolean[] first = {true};
       lab.store.fate =
           change -> {
@@ -58,7 +58,7 @@
      */
     @Test
     public void renewsBetweenPiecesOfWork() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -75,7 +75,7 @@
     /** What asks often for a renewal causes no more of them than the timer does. */
     @Test
     public void renewsNoMoreOftenThanDue() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       int[] commits = {0};
       lab.store.fate =
           change -> {
@@ -106,7 +106,7 @@
      */
     @Test
     public void waitsForTheLeaseOfAnotherInstance() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -122,7 +122,7 @@
     /** Work of jobs that were cancelled as the leader was lost went on for longer than 3.2 s. */
     @Test(dataProvider = "moments")
     public void isOverSoonAfterTheLoss(long killedMillis) {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -143,7 +143,7 @@
     /** All instances lose power and come back; the last leader's next life leads at once. */
     @Test
     public void doesNotWaitForItsOwnLastLife() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       first.timers.killed = true;
@@ -158,7 +158,7 @@
      */
     @Test
     public void leadersWithoutTheStoreStopInTime() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
@@ -180,7 +180,7 @@
      */
     @Test
     public void handsOverToAnotherDataCentre() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       final Candidate first = lab.candidate("a", 1, "cut");
       lab.time.run(1_000);
       final Candidate near = lab.candidate("b", 1, "cut");
@@ -201,7 +201,7 @@
      */
     @Test
     public void doesNotHandOverAgainSoon() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate only = lab.candidate("a", 1, "cut");
       lab.time.run(1_000);
       only.leadership.handOver("cut off");
@@ -216,7 +216,7 @@
     /** No other data centre has an instance: the old leader leads again soon. */
     @Test
     public void leadsAgainWhenNobodyElseDoes() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate only = lab.candidate("a", 1, "cut");
       lab.time.run(1_000);
       only.leadership.handOver("cut off");
@@ -230,7 +230,7 @@
      */
     @Test
     public void holdsTheLeaseWhateverItsName() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("freeport-1", 1);
       lab.time.run(1_000);
       Candidate second = lab.candidate("b", 1);
@@ -242,7 +242,7 @@
     /** The leader is told to stop and gives its lease back; the next one need not wait for it. */
     @Test
     public void followsAtOnceWhenTheLeaderLeaves() {
-      ElectionLab lab = new ElectionLab();
+      ElectionSimulation lab = new ElectionSimulation();
       Candidate first = lab.candidate("a", 1);
       lab.time.run(1_000);
       final Candidate second = lab.candidate("b", 1);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
@@ -31,14 +31,14 @@
     public void owesNothingWithoutAnEarlierLeader() {
       LeaseRow row = new LeaseRow("self/1");
       row.inherit(Optional.empty(), 5_000);
-      assertEquals(row.inheritedLapseMillis(), 0);
+      assertEquals(row.inheritedLeaseEndMillis(), 0);
     }
 
     @Test
     public void waitsForWhatTheLastLeaderGave() {
       LeaseRow row = new LeaseRow("self/1");
       row.inherit(Optional.of(LeaseText.parse(OLD_TEXT)), 5_000);
-      assertEquals(row.inheritedLapseMillis(), 5_000 + LeaderLease.GRANT_MILLIS);
+      assertEquals(row.inheritedLeaseEndMillis(), 5_000 + LeaderLease.GRANT_MILLIS);
     }
 
     /** A leader that makes way before it gave any lease passes on only what it inherited. */
--- a/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
@@ -37,7 +37,7 @@
     }
 
     private void write(RowKey row) {
-      Change change = new Change(Map.of(), Map.of(row, Payload.of("x")), List.of());
+      Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("x")), List.of());
       seen.commit(change, 1_000, answer -> {});
     }
 
@@ -127,7 +127,7 @@
 
     /** Writes such a row and tells it as a follower does. */
     private static void write(Lab lab, RowKey at) {
-      Change change = new Change(Map.of(), Map.of(at, Payload.of("0")), List.of());
+      Transaction change = new Transaction(Map.of(), Map.of(at, Payload.of("0")), List.of());
       lab.seen.commit(
           change,
           1_000,
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
@@ -15,24 +15,24 @@
 public class StartGateTest {
 
   /** Time after which nothing may begin against each kind of news, in milliseconds. */
-  private static final Map<StartNews, Long> BOUNDS =
+  private static final Map<FreshnessLimit, Long> BOUNDS =
       Map.of(
-          StartNews.CANCELLATIONS,
+          FreshnessLimit.CANCELLATIONS,
           3_000L,
-          StartNews.EVACUATIONS,
+          FreshnessLimit.EVACUATIONS,
           5_000L,
-          StartNews.WORKERS,
+          FreshnessLimit.WORKERS,
           2_000L);
 
   private static final class Lab {
     final VirtualTimers time = new VirtualTimers();
     final VirtualTimers.View process = time.process();
-    final Map<StartNews, Moment> asked = new EnumMap<>(StartNews.class);
+    final Map<FreshnessLimit, Moment> asked = new EnumMap<>(FreshnessLimit.class);
     final StartGate gate;
 
     Lab() {
-      Map<StartNews, Supplier<Moment>> sources = new EnumMap<>(StartNews.class);
-      for (StartNews news : StartNews.values()) {
+      Map<FreshnessLimit, Supplier<Moment>> sources = new EnumMap<>(FreshnessLimit.class);
+      for (FreshnessLimit news : FreshnessLimit.values()) {
         asked.put(news, process.now());
         sources.put(news, () -> asked.get(news));
       }
@@ -40,7 +40,7 @@
     }
 
     /** Lets time pass in which all other news is told. */
-    void age(StartNews old, long millis) {
+    void age(FreshnessLimit old, long millis) {
       time.run(millis);
       asked.replaceAll((news, moment) -> news == old ? moment : process.now());
     }
@@ -49,7 +49,9 @@
   /** All kinds of news. */
   @DataProvider
   public static Object[][] kinds() {
-    return new Object[][] {{StartNews.CANCELLATIONS}, {StartNews.EVACUATIONS}, {StartNews.WORKERS}};
+    return new Object[][] {
+      {FreshnessLimit.CANCELLATIONS}, {FreshnessLimit.EVACUATIONS}, {FreshnessLimit.WORKERS}
+    };
   }
 
   /** Each kind of news by itself. */
@@ -57,7 +59,7 @@
 
     /** Guards against a start that leaves though one kind of news is as old as its bound. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
-    public void closesBeforeTheBound(StartNews news) {
+    public void closesBeforeTheBound(FreshnessLimit news) {
       Lab lab = new Lab();
       lab.age(news, 500);
       assertTrue(lab.gate.open());
@@ -70,7 +72,7 @@
 
     /** Guards against news that counts as new after the process was suspended. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
-    public void countsTimeAsleep(StartNews news) {
+    public void countsTimeAsleep(FreshnessLimit news) {
       Lab lab = new Lab();
       Moment now = lab.process.now();
       lab.asked.put(news, new Moment(now.mono(), now.wall() - BOUNDS.get(news)));
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartsLab.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
@@ -20,8 +20,8 @@
 import org.cottontack.core.job.RunKey;
 import org.cottontack.core.job.StartResult;
 import org.cottontack.core.job.TaskName;
+import org.cottontack.core.job.WorkerIncarnation;
 import org.cottontack.core.job.WorkerInfo;
-import org.cottontack.core.job.WorkerLife;
 import org.cottontack.core.job.WorkerReport;
 import org.cottontack.core.peer.Payload;
 
@@ -30,7 +30,7 @@
  * something all the time. Other instances take cancellations, an operator empties the data centre,
  * and the worker's list says that it drains: each is a row of the store.
  */
-final class StartsLab implements WorkerRegistry, WorkerCalls {
+final class StartsSimulation implements WorkerRegistry, WorkerClient {
 
   static final JobId JOB = new JobId("long");
   static final RowKey CANCEL = JobTables.cancel(JOB);
@@ -69,13 +69,13 @@
   private final Map<RowKey, Long> written = new HashMap<>();
   private final Map<RunKey, Long> running = new HashMap<>();
   private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final List<WorkerReport.Ended> ended = new ArrayList<>();
+  private final List<WorkerReport.Completion> ended = new ArrayList<>();
   private long ends;
   private long leaseEndMillis;
   private boolean draining;
   JobEntry entry;
 
-  StartsLab() {
+  StartsSimulation() {
     restart();
     time.run(500);
     entry.intake().submit(TestJobs.job(JOB, TASKS), OptionalLong.empty(), answer -> {});
@@ -93,7 +93,7 @@
 
   /** Has another instance, the operator or the worker write a row. */
   void write(RowKey row) {
-    Change change = new Change(Map.of(), Map.of(row, Payload.of("now")), List.of());
+    Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("now")), List.of());
     store
         .seenBy(others, call -> true)
         .commit(change, 1_000, answer -> written.put(row, others.now().mono()));
@@ -127,42 +127,42 @@
   private RuleSource rules() {
     TableStore seen = store.seenBy(process, call -> true);
     return new RuleSource() {
-      private Follower follower;
+      private TableWatcher follower;
 
       @Override
       public void start(Consumer<JobTable> tables, Consumer<Set<DataCentreId>> evacuations) {
         tables.accept(new JobTable(1, List.of(TestJobs.QUEUE), List.of()));
         Consumer<Row> told = row -> evacuations.accept(Set.of(new DataCentreId("dc")));
-        follower = new Follower(seen, process, "op", List.of(""), told, () -> {});
+        follower = new TableWatcher(seen, process, "op", List.of(""), told, () -> {});
         follower.start();
       }
 
       @Override
-      public long contactMillis() {
-        return follower.contactMillis();
+      public long lastContactMillis() {
+        return follower.lastContactMillis();
       }
 
       @Override
-      public Moment asked() {
-        return follower.asked();
+      public Moment lastRequestSent() {
+        return follower.lastRequestSent();
       }
 
       @Override
-      public void askIfLeapt() {
-        follower.askIfLeapt();
+      public void refreshAfterClockJump() {
+        follower.refreshAfterClockJump();
       }
     };
   }
 
   @Override
-  public Follower follower(Consumer<JobEvent> listener, Runnable onCurrent) {
+  public TableWatcher watcher(Consumer<JobEvent> listener, Runnable onCurrent) {
     Consumer<Row> told =
         row -> {
           draining = true;
           replay(listener);
         };
     TableStore seen = store.seenBy(process, call -> true);
-    return new Follower(seen, process, "workers", List.of(""), told, onCurrent);
+    return new TableWatcher(seen, process, "workers", List.of(""), told, onCurrent);
   }
 
   @Override
@@ -170,7 +170,7 @@
     listener.accept(
         new JobEvent.WorkerSeen(
             new WorkerInfo(
-                WorkerLife.only(new WorkerId("w")),
+                WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")),
                 "pool",
                 "w:1",
                 new DataCentreId("dc"),
@@ -222,30 +222,33 @@
     leaseEndMillis = Math.max(leaseEndMillis, start.deadlineMillis());
     starts.add(now);
     running.put(run, now);
-    others.after(WORK_MILLIS, () -> end(run, WorkerReport.End.DONE));
+    others.after(WORK_MILLIS, () -> end(run, WorkerReport.CompletionStatus.DONE));
     return StartResult.STARTED;
   }
 
-  private void end(RunKey run, WorkerReport.End how) {
+  private void end(RunKey run, WorkerReport.CompletionStatus how) {
     barred.merge(run.task(), run.run(), Math::max);
     if (running.remove(run) != null) {
       ends++;
       boolean lapsed = others.now().mono() > leaseEndMillis;
-      WorkerReport.End told = lapsed ? WorkerReport.End.LAPSED : how;
-      ended.add(new WorkerReport.Ended(ends, run.task(), run.run(), told, ""));
+      WorkerReport.CompletionStatus told = lapsed ? WorkerReport.CompletionStatus.LAPSED : how;
+      ended.add(new WorkerReport.Completion(ends, run.task(), run.run(), told, ""));
     }
   }
 
   /** Returns how many runs ended since no lease was in force. */
   long lapsed() {
-    return ended.stream().filter(end -> end.how() == WorkerReport.End.LAPSED).count();
+    return ended.stream()
+        .filter(end -> end.status() == WorkerReport.CompletionStatus.LAPSED)
+        .count();
   }
 
   @Override
   public void stop(JobEffect.StopRun stop, long epoch, Consumer<Boolean> done) {
     boolean answers = wayMillis < ORDER_MILLIS && !losesStops;
     others.after(
-        losesStops ? NEVER_MILLIS : wayMillis, () -> end(stop.run(), WorkerReport.End.STOPPED));
+        losesStops ? NEVER_MILLIS : wayMillis,
+        () -> end(stop.run(), WorkerReport.CompletionStatus.STOPPED));
     process.after(answers ? wayMillis + 1 : ORDER_MILLIS, () -> done.accept(answers));
   }
 
@@ -255,8 +258,8 @@
   }
 
   @Override
-  public void look(
-      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<Look> done) {
+  public void poll(
+      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
     leaseEndMillis = Math.max(leaseEndMillis, look.leaseEndMillis());
     others.after(
         Math.max(2, Math.min(look.waitMillis(), LOOK_MILLIS)),
@@ -265,11 +268,12 @@
               running.keySet().stream()
                   .map(run -> new WorkerReport.Running(run.task(), run.run(), "", 50, 0))
                   .toList();
-          List<WorkerReport.Ended> news =
+          List<WorkerReport.Completion> news =
               ended.stream().filter(end -> end.number() > look.acknowledged()).toList();
           long clock = others.now().mono();
-          WorkerReport report = new WorkerReport(WorkerLife.UNSTATED, clock, list, news);
-          process.after(0, () -> done.accept(new Look(Look.Outcome.ANSWERED, report)));
+          WorkerReport report =
+              new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, clock, list, news);
+          process.after(0, () -> done.accept(new PollResult(PollResult.Outcome.ANSWERED, report)));
         });
   }
 
--- a/daemon/src/test/java/org/cottontack/daemon/job/FollowerGapsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 /** Tests that a follower passes over no change, whatever the store answers in between. */
-public class FollowerGapsTest {
+public class TableWatcherGapsTest {
 
   private static final String TABLE = "table";
   private static final List<String> PARTS = List.of("one", "two");
@@ -38,9 +38,9 @@
     final List<String> told = new ArrayList<>();
     final List<String> calls = new ArrayList<>();
     private final Deque<Consumer<Scan>> scans = new ArrayDeque<>();
-    private final Deque<Consumer<News>> feeds = new ArrayDeque<>();
-    final Follower follower =
-        new Follower(this, process, TABLE, PARTS, this::tell, () -> told.add("current"));
+    private final Deque<Consumer<Changes>> feeds = new ArrayDeque<>();
+    final TableWatcher follower =
+        new TableWatcher(this, process, TABLE, PARTS, this::tell, () -> told.add("current"));
 
     Script() {
       follower.start();
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done) {
+    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
       throw new AssertionError("a follower writes nothing");
     }
 
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void follow(String table, long after, long waitMillis, Consumer<News> done) {
+    public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
       calls.add("after " + after);
       feeds.add(done);
     }
@@ -77,11 +77,11 @@
     }
 
     void news(long version, Row... rows) {
-      feeds.remove().accept(new News(News.Outcome.CURRENT, List.of(rows), version));
+      feeds.remove().accept(new Changes(Changes.Outcome.CURRENT, List.of(rows), version));
     }
 
-    void news(News.Outcome outcome) {
-      feeds.remove().accept(News.of(outcome));
+    void news(Changes.Outcome outcome) {
+      feeds.remove().accept(Changes.of(outcome));
       time.run(1_000);
     }
   }
@@ -109,7 +109,7 @@
       script.page(6, row("one", "a", 3));
       script.noPage();
       assertEquals(script.told, List.of());
-      assertTrue(script.follower.contactMillis() < 0);
+      assertTrue(script.follower.lastContactMillis() < 0);
       script.page(7);
       script.page(7, row("two", "b", 2));
       assertEquals(script.told, List.of("b+2", "current"));
@@ -121,11 +121,11 @@
       Script script = new Script();
       script.page(5, row("one", "a", 3), row("one", "b", 4));
       script.page(5);
-      script.news(TableStore.News.Outcome.FORGOTTEN);
-      final long contact = script.follower.contactMillis();
+      script.news(TableStore.Changes.Outcome.FORGOTTEN);
+      final long contact = script.follower.lastContactMillis();
       script.page(20, row("one", "b", 12), row("one", "c", 13));
       script.noPage();
-      assertEquals(script.follower.contactMillis(), contact);
+      assertEquals(script.follower.lastContactMillis(), contact);
       script.page(21, row("one", "b", 12), row("one", "c", 13));
       script.page(22, row("two", "d", 22));
       script.news(22, row("two", "d", 22));
@@ -138,7 +138,7 @@
       Script script = new Script();
       script.page(8);
       script.page(8, row("two", "a", 8));
-      script.news(TableStore.News.Outcome.FORGOTTEN);
+      script.news(TableStore.Changes.Outcome.FORGOTTEN);
       script.page(8);
       script.page(9);
       script.news(9, removed("two", "a", 9));
@@ -162,8 +162,8 @@
     @Test
     public void asksAgainForWhatWasNotAnswered() {
       Script script = read();
-      script.news(TableStore.News.Outcome.FAILED);
-      script.news(TableStore.News.Outcome.FAILED);
+      script.news(TableStore.Changes.Outcome.FAILED);
+      script.news(TableStore.Changes.Outcome.FAILED);
       script.news(7, row("one", "a", 6));
       assertEquals(script.calls, List.of("after 5", "after 5", "after 7"));
       assertEquals(script.told, List.of("a+6"));
@@ -175,7 +175,7 @@
       Script script = read();
       script.news(9, row("one", "a", 9));
       script.news(7, row("one", "a", 7), removed("one", "a", 8), row("one", "a", 9));
-      script.news(TableStore.News.Outcome.FAILED);
+      script.news(TableStore.Changes.Outcome.FAILED);
       assertEquals(script.told, List.of("a+9"));
       assertEquals(script.calls, List.of("after 9", "after 9", "after 9"));
     }
@@ -219,7 +219,7 @@
 
     Troubled(int seed) {
       random = new Random(seed);
-      new Follower(this, process, TABLE, PARTS, this::tell, () -> {}).start();
+      new TableWatcher(this, process, TABLE, PARTS, this::tell, () -> {}).start();
     }
 
     boolean agrees() {
@@ -237,8 +237,8 @@
       boolean removal = random.nextInt(4) == 0;
       calm.commit(
           removal
-              ? new Change(Map.of(), Map.of(), List.of(at))
-              : new Change(Map.of(), Map.of(at, Payload.of(text)), List.of()),
+              ? new Transaction(Map.of(), Map.of(), List.of(at))
+              : new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of()),
           1_000,
           answer -> {});
     }
@@ -254,7 +254,7 @@
     }
 
     @Override
-    public void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done) {
+    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
       throw new AssertionError("a follower writes nothing");
     }
 
@@ -276,17 +276,17 @@
     }
 
     @Override
-    public void follow(String table, long after, long waitMillis, Consumer<News> done) {
+    public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
       if (strikes(15)) {
-        later(() -> done.accept(News.of(News.Outcome.FORGOTTEN)));
+        later(() -> done.accept(Changes.of(Changes.Outcome.FORGOTTEN)));
         return;
       }
       boolean lost = strikes(20);
-      calm.follow(
+      calm.watch(
           table,
           after,
           waitMillis,
-          news -> later(() -> done.accept(lost ? News.of(News.Outcome.FAILED) : news)));
+          news -> later(() -> done.accept(lost ? Changes.of(Changes.Outcome.FAILED) : news)));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/FollowerTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of how a follower keeps up with a table in which others write too. */
-public class FollowerTest {
+public class TableWatcherTest {
 
   private static final String TABLE = "table";
 
@@ -35,8 +35,8 @@
       time.run(200);
     }
 
-    Follower follower() {
-      return new Follower(seen, process, TABLE, List.of(""), this::tell, () -> {});
+    TableWatcher follower() {
+      return new TableWatcher(seen, process, TABLE, List.of(""), this::tell, () -> {});
     }
 
     private void tell(Row row) {
@@ -48,7 +48,7 @@
 
     void write(String key, String text) {
       RowKey at = new RowKey(TABLE, "", key);
-      Change change = new Change(Map.of(), Map.of(at, Payload.of(text)), List.of());
+      Transaction change = new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of());
       seen.commit(change, 1_000, answer -> {});
       time.run(200);
     }
@@ -59,8 +59,8 @@
 
     private static void writeEachTenMillis(Lab lab) {
       for (int i = 0; i < 100; i++) {
-        Change change =
-            new Change(
+        Transaction change =
+            new Transaction(
                 Map.of(), Map.of(new RowKey(TABLE, "", "k" + i), Payload.of("v")), List.of());
         lab.seen.commit(change, 1_000, answer -> {});
         lab.time.run(10);
@@ -72,7 +72,7 @@
     @Test
     public void asksOnceForManyChanges() {
       Lab lab = new Lab();
-      lab.follower().inBatches(100).start();
+      lab.follower().withMinInterval(100).start();
       lab.time.run(200);
       int before = lab.calls;
       writeEachTenMillis(lab);
@@ -101,13 +101,13 @@
       Lab lab = new Lab();
       lab.store.readMillis = readMillis;
       lab.store.transactionMillis = 2 * readMillis;
-      Follower follower = lab.follower();
+      TableWatcher follower = lab.follower();
       (shorter ? follower.withMaxWait(500) : follower).start();
       lab.time.run(5_000);
       long before = lab.calls;
       lab.process.leapMillis = leapMillis;
       for (long at = 0; at < MILLIS; at += 100) {
-        follower.askIfLeapt();
+        follower.refreshAfterClockJump();
         lab.time.run(100);
       }
       return lab.calls - before;
@@ -136,13 +136,13 @@
     @Test
     public void knowsNewsSoonAfterLeaps() {
       Lab lab = new Lab();
-      Follower follower = lab.follower();
+      TableWatcher follower = lab.follower();
       follower.start();
       lab.time.run(5_300);
       lab.process.leapMillis = 3_000;
-      follower.askIfLeapt();
+      follower.refreshAfterClockJump();
       lab.time.run(200);
-      assertTrue(lab.process.now().longestSince(follower.asked()) <= 200);
+      assertTrue(lab.process.now().longestSince(follower.lastRequestSent()) <= 200);
     }
 
     /** Guards against changes that count as told before they are. */
@@ -150,22 +150,22 @@
     public void countsAsToldWhatWasTold() {
       Lab lab = new Lab();
       List<Moment> asked = new ArrayList<>();
-      Follower[] follower = {null};
+      TableWatcher[] follower = {null};
       follower[0] =
-          new Follower(
+          new TableWatcher(
               lab.seen,
               lab.process,
               TABLE,
               List.of(""),
-              row -> asked.add(follower[0].asked()),
-              () -> asked.add(follower[0].asked()));
+              row -> asked.add(follower[0].lastRequestSent()),
+              () -> asked.add(follower[0].lastRequestSent()));
       lab.write("a", "v");
       Moment began = lab.process.now();
       follower[0].start();
       lab.time.run(200);
-      assertEquals(asked, List.of(Follower.NEVER, began));
+      assertEquals(asked, List.of(TableWatcher.NEVER, began));
       lab.write("b", "v");
-      assertEquals(asked, List.of(Follower.NEVER, began, began));
+      assertEquals(asked, List.of(TableWatcher.NEVER, began, began));
     }
   }
 
--- a/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
@@ -14,15 +14,15 @@
 public class WatchedStoreTest {
 
   private static final TableStore.Scan ANSWER = new TableStore.Scan(true, List.of(), 1, 1);
-  private static final Change NOTHING = new Change(Map.of(), Map.of(), List.of());
+  private static final Transaction NOTHING = new Transaction(Map.of(), Map.of(), List.of());
 
   /** A store that answers when the test says so. */
   private static final class SilentStore implements TableStore {
     final List<Consumer<Scan>> scans = new ArrayList<>();
-    final List<Consumer<CommitAnswer>> commits = new ArrayList<>();
+    final List<Consumer<CommitResult>> commits = new ArrayList<>();
 
     @Override
-    public void commit(Change change, long timeoutMillis, Consumer<CommitAnswer> done) {
+    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
       commits.add(done);
     }
 
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void follow(String table, long after, long waitMillis, Consumer<News> done) {}
+    public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {}
   }
 
   private static final class Lab {
@@ -64,7 +64,7 @@
       Lab lab = new Lab();
       lab.time.run(5_000);
       assertFalse(lab.watched.away());
-      lab.watched.follow("table", 0, 1_000, news -> {});
+      lab.watched.watch("table", 0, 1_000, news -> {});
       lab.time.run(1_400);
       assertFalse(lab.watched.away());
       lab.time.run(600);
@@ -91,7 +91,7 @@
     public void refusalsAreNoService() {
       Lab lab = new Lab();
       lab.watched.commit(NOTHING, 1_000, answer -> {});
-      lab.store.commits.get(0).accept(CommitAnswer.of(CommitAnswer.Outcome.REFUSED));
+      lab.store.commits.get(0).accept(CommitResult.of(CommitResult.Outcome.REFUSED));
       lab.time.run(1_000);
       assertTrue(lab.watched.away());
     }
