--- a/daemon/src/main/java/org/cottontack/daemon/job/FreshnessLimit.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/FreshnessLimit.java
@@ -15,30 +15,30 @@
   WORKERS(1_700, 2_000);
 
   /** What clocks and a worker's answer may differ by, in milliseconds. */
-  private static final long CLOCKS_MILLIS = 100;
+  private static final long CLOCK_TOLERANCE_MILLIS = 100;
 
-  private final long oldestMillis;
-  private final long boundMillis;
+  private final long maxSendAgeMillis;
+  private final long maxStartAgeMillis;
 
   /**
    * Creates a kind of news.
    *
-   * @param oldestMillis age up to which an order to start may leave, in milliseconds; what is left
-   *     to the bound is for its way
-   * @param boundMillis time after which nothing may begin against this news, in milliseconds
+   * @param maxSendAgeMillis age up to which an order to start may leave, in milliseconds; what is
+   *     left to the bound is for its way
+   * @param maxStartAgeMillis time after which nothing may begin against this news, in milliseconds
    */
-  FreshnessLimit(long oldestMillis, long boundMillis) {
-    this.oldestMillis = oldestMillis;
-    this.boundMillis = boundMillis;
+  FreshnessLimit(long maxSendAgeMillis, long maxStartAgeMillis) {
+    this.maxSendAgeMillis = maxSendAgeMillis;
+    this.maxStartAgeMillis = maxStartAgeMillis;
   }
 
   /** Returns whether an order to start may leave while the last news is of this age. */
-  boolean lets(long ageMillis) {
-    return ageMillis < oldestMillis;
+  boolean allows(long ageMillis) {
+    return ageMillis < maxSendAgeMillis;
   }
 
   /** Returns for how long work may begin by news of this age, in milliseconds; may be negative. */
-  long leftMillis(long ageMillis) {
-    return boundMillis - CLOCKS_MILLIS - ageMillis;
+  long remainingMillis(long ageMillis) {
+    return maxStartAgeMillis - CLOCK_TOLERANCE_MILLIS - ageMillis;
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
@@ -35,16 +35,16 @@
    * wait when it comes, and as two when the next comes; at a store that is 60 times slower, by 240
    * ms each more.
    */
-  private static final long NEWS_WAIT_MILLIS = 500;
+  private static final long MAX_UPDATE_WAIT_MILLIS = 500;
 
   /** Time between two ticks of the scheduler, in milliseconds. */
   private static final long TICK_MILLIS = 100;
 
   /** Pause after a decision as a multiple of the time it took: half the processor at most. */
-  private static final long PAUSE_SHARE = 1;
+  private static final long PAUSE_FACTOR = 1;
 
   /** Longest pause between decisions, in milliseconds: a fifth of the tightest objective. */
-  private static final long LONGEST_PAUSE_MILLIS = 50;
+  private static final long MAX_PAUSE_MILLIS = 50;
 
   private final WatchedStore store;
   private final Timers timers;
@@ -59,16 +59,16 @@
   private final Retention retention;
   private final Map<JobId, JobSpec> accepted = new HashMap<>();
   private final Set<JobId> cancelled = new HashSet<>();
-  private final List<TableWatcher> followers = new ArrayList<>();
-  private TableWatcher cancels;
-  private TableWatcher listed;
+  private final List<TableWatcher> watchers = new ArrayList<>();
+  private TableWatcher cancellationWatcher;
+  private TableWatcher workerWatcher;
   private StartGate gate;
   private JobTable table = JobTable.EMPTY;
   private Set<DataCentreId> evacuated = Set.of();
   private JobScheduler scheduler;
   private boolean stopped;
-  private int toRead;
-  private boolean deciding;
+  private int unreadTables;
+  private boolean decisionScheduled;
   private long pauseMillis;
 
   Leader(
@@ -108,12 +108,12 @@
   }
 
   void start() {
-    progressStore.takeOver(this::readRest);
+    progressStore.takeOver(this::readTables);
   }
 
   void stop() {
     stopped = true;
-    followers.forEach(TableWatcher::stop);
+    watchers.forEach(TableWatcher::stop);
     progressStore.stop();
     waitingRows.stop();
     retention.stop();
@@ -131,31 +131,32 @@
 
   // Taking over
 
-  private void readRest(ProgressStore.Found found) {
+  private void readTables(ProgressStore.Found found) {
     if (stopped) {
       return;
     }
     Runnable onCurrent = () -> onTableRead(found);
     List<String> parts = JobTables.intakeParts();
-    followers.add(new TableWatcher(store, timers, JobTables.JOBS, parts, this::job, onCurrent));
-    cancels =
-        new TableWatcher(store, timers, JobTables.CANCELS, parts, this::cancel, onCurrent)
-            .withMaxWait(NEWS_WAIT_MILLIS);
-    followers.add(cancels);
-    listed = registry.watcher(this::post, onCurrent).withMaxWait(NEWS_WAIT_MILLIS);
-    followers.add(listed);
+    watchers.add(new TableWatcher(store, timers, JobTables.JOBS, parts, this::onJobRow, onCurrent));
+    cancellationWatcher =
+        new TableWatcher(
+                store, timers, JobTables.CANCELS, parts, this::onCancellationRow, onCurrent)
+            .withMaxWait(MAX_UPDATE_WAIT_MILLIS);
+    watchers.add(cancellationWatcher);
+    workerWatcher = registry.watcher(this::post, onCurrent).withMaxWait(MAX_UPDATE_WAIT_MILLIS);
+    watchers.add(workerWatcher);
     gate =
         new StartGate(
             timers,
             Map.of(
-                FreshnessLimit.CANCELLATIONS, cancels::lastRequestSent,
+                FreshnessLimit.CANCELLATIONS, cancellationWatcher::lastRequestSent,
                 FreshnessLimit.EVACUATIONS, rules::lastRequestSent,
-                FreshnessLimit.WORKERS, listed::lastRequestSent));
-    toRead = followers.size();
-    followers.forEach(TableWatcher::start);
+                FreshnessLimit.WORKERS, workerWatcher::lastRequestSent));
+    unreadTables = watchers.size();
+    watchers.forEach(TableWatcher::start);
   }
 
-  private void job(Row row) {
+  private void onJobRow(Row row) {
     if (row.removed()) {
       return;
     }
@@ -164,7 +165,7 @@
       if (scheduler == null) {
         accepted.put(job.id(), job);
       } else {
-        arrived(job);
+        onJobArrived(job);
       }
     } catch (WireException e) {
       LOG.error("skipping a job that cannot be read: {}", row.key(), e);
@@ -172,18 +173,18 @@
   }
 
   /** Another version may store a job beside the row of a cancellation that found none. */
-  private void arrived(JobSpec job) {
+  private void onJobArrived(JobSpec job) {
     post(new JobEvent.JobArrived(job));
     if (retention.claim(job.id())) {
       cancelled(job.id());
     }
   }
 
-  private void cancel(Row row) {
+  private void onCancellationRow(Row row) {
     JobId id = new JobId(row.key());
     if (row.removed()) {
       retention.gone(row.at());
-    } else if (Cancellation.parse(row) == Cancellation.BEFORE_SUBMISSION && !known(id)) {
+    } else if (Cancellation.parse(row) == Cancellation.BEFORE_SUBMISSION && !isKnown(id)) {
       retention.orphan(row);
     } else if (scheduler == null) {
       cancelled.add(id);
@@ -192,7 +193,7 @@
     }
   }
 
-  private boolean known(JobId id) {
+  private boolean isKnown(JobId id) {
     return scheduler != null && scheduler.describe(id).isPresent();
   }
 
@@ -206,18 +207,18 @@
         new StringMapMessage()
             .with("event", "job.cancelHeard")
             .with("subject", id)
-            .with("askedMillis", sinceMillis(cancels.telling()))
-            .with("answeredMillis", sinceMillis(cancels.answered()))
+            .with("askedMillis", elapsedMillis(cancellationWatcher.deliveredRequestSent()))
+            .with("answeredMillis", elapsedMillis(cancellationWatcher.lastResponseReceived()))
             .with("job", job));
   }
 
-  private long sinceMillis(Moment earlier) {
+  private long elapsedMillis(Moment earlier) {
     return timers.now().longestSince(earlier);
   }
 
   private void onTableRead(ProgressStore.Found found) {
-    toRead--;
-    if (toRead == 0) {
+    unreadTables--;
+    if (unreadTables == 0) {
       begin(found);
     }
   }
@@ -226,10 +227,10 @@
     leadership.begin();
     final Map<JobId, String> progress = found.jobs();
     accepted.keySet().stream().filter(retention::claim).forEach(cancelled::add);
-    JobScheduler made =
+    JobScheduler created =
         new JobScheduler(
             JobTiming.STANDARD, table, timers.now(), leadership.inheritedLeaseEndMillis());
-    scheduler = made;
+    scheduler = created;
     post(new JobEvent.LearnedRecovered(found.learned()));
     post(new JobEvent.DataCentresEvacuated(evacuated));
     registry.replay(this::post);
@@ -278,8 +279,8 @@
   private void tick() {
     if (!stopped) {
       timers.after(TICK_MILLIS, this::tick);
-      cancels.refreshAfterClockJump();
-      listed.refreshAfterClockJump();
+      cancellationWatcher.refreshAfterClockJump();
+      workerWatcher.refreshAfterClockJump();
       rules.refreshAfterClockJump();
       post(new JobEvent.Tick(leadership.renewal()));
     }
@@ -292,33 +293,33 @@
       return;
     }
     leadership.renewIfDue();
-    boundStarts();
+    updateStartDeadline();
     metrics.event(event);
     scheduler.handle(timers.now(), event).forEach(this::run);
-    if (!deciding) {
-      deciding = true;
+    if (!decisionScheduled) {
+      decisionScheduled = true;
       timers.after(pauseMillis, this::decide);
     }
   }
 
   /** Tells until when work may begin by the news that there is. */
-  private void boundStarts() {
-    scheduler.handle(timers.now(), new JobEvent.StartsBounded(gate.closesMillis()));
+  private void updateStartDeadline() {
+    scheduler.handle(timers.now(), new JobEvent.StartsBounded(gate.startDeadlineMillis()));
   }
 
   /** Decides about all events since the last time; the pause bounds its share of the processor. */
   private void decide() {
-    deciding = false;
+    decisionScheduled = false;
     if (stopped) {
       return;
     }
     leadership.renewIfDue();
-    boundStarts();
+    updateStartDeadline();
     long began = System.nanoTime();
     scheduler.decide(timers.now()).forEach(this::run);
     long took = System.nanoTime() - began;
     metrics.decided(took);
-    pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, PAUSE_SHARE * TimeUnit.NANOSECONDS.toMillis(took));
+    pauseMillis = Math.min(MAX_PAUSE_MILLIS, PAUSE_FACTOR * TimeUnit.NANOSECONDS.toMillis(took));
   }
 
   private void run(JobEffect effect) {
@@ -329,7 +330,7 @@
       workers.start(
           start,
           epoch,
-          () -> leaves(start),
+          () -> allowStart(start),
           result ->
               post(new JobEvent.StartEnded(start.target().incarnation(), start.run(), result)));
     } else if (effect instanceof JobEffect.StopRun stop) {
@@ -338,10 +339,10 @@
           epoch,
           answered ->
               post(new JobEvent.StopEnded(stop.target().incarnation(), stop.run(), answered)));
-    } else if (effect instanceof JobEffect.LookAtWorker look) {
-      look(look);
+    } else if (effect instanceof JobEffect.LookAtWorker poll) {
+      poll(poll);
     } else if (effect instanceof JobEffect.PaceRun pace) {
-      workers.pace(pace, epoch, answered -> paced(pace, answered));
+      workers.pace(pace, epoch, answered -> onPaceAnswered(pace, answered));
     } else if (effect instanceof JobEffect.Begun begun) {
       waitingRows.begun(begun.job());
     } else if (effect instanceof JobEffect.HandOver over) {
@@ -357,14 +358,14 @@
     }
   }
 
-  private void paced(JobEffect.PaceRun pace, boolean answered) {
+  private void onPaceAnswered(JobEffect.PaceRun pace, boolean answered) {
     if (!answered) {
       post(new JobEvent.PaceLost(pace.target().incarnation(), pace.run()));
     }
   }
 
   /** Returns whether a start may leave now, and takes in how old the news is if it does. */
-  private boolean leaves(JobEffect.StartRun start) {
+  private boolean allowStart(JobEffect.StartRun start) {
     boolean may = mayStart(start);
     if (may) {
       metrics.started(gate.ageMillis(FreshnessLimit.CANCELLATIONS));
@@ -385,16 +386,16 @@
         && scheduler.maySend(start.target().incarnation(), start.run());
   }
 
-  private void look(JobEffect.LookAtWorker look) {
+  private void poll(JobEffect.LookAtWorker poll) {
     long sent = timers.now().mono();
-    workers.poll(look, epoch, () -> !stopped, answer -> post(lookEnded(look, sent, answer)));
+    workers.poll(poll, epoch, () -> !stopped, result -> post(pollEvent(poll, sent, result)));
   }
 
-  private JobEvent lookEnded(
-      JobEffect.LookAtWorker look, long sent, WorkerClient.PollResult answer) {
-    WorkerIncarnation worker = look.target().incarnation();
-    return switch (answer.outcome()) {
-      case ANSWERED -> new JobEvent.WorkerReported(worker, sent, answer.report());
+  private JobEvent pollEvent(
+      JobEffect.LookAtWorker poll, long sent, WorkerClient.PollResult result) {
+    WorkerIncarnation worker = poll.target().incarnation();
+    return switch (result.outcome()) {
+      case ANSWERED -> new JobEvent.WorkerReported(worker, sent, result.report());
       case SILENT -> new JobEvent.WorkerSilent(worker);
       case REBORN -> new JobEvent.WorkerReborn(worker);
       case FENCED -> new JobEvent.WorkerFenced(worker);
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
@@ -25,23 +25,23 @@
   private static final long RENEW_MILLIS = 500;
 
   /** Longest wait for news of the lease, in milliseconds: two fit into the lease. */
-  private static final long WATCH_MILLIS = 600;
+  private static final long MAX_WATCH_MILLIS = 600;
 
   /** Pause after a call that failed, in milliseconds. */
   private static final long PAUSE_MILLIS = 200;
 
   /** Longest wait for the answer to a renewal, in milliseconds. */
-  private static final long ANSWER_MILLIS = 1_800;
+  private static final long COMMIT_TIMEOUT_MILLIS = 1_800;
 
   /** Instances start their takeovers up to this much apart, in milliseconds. */
-  private static final long SPREAD_MILLIS = 150;
+  private static final long TAKEOVER_SPREAD_MILLIS = 150;
 
   /**
    * Least time between two times that this instance gives the lead away, in milliseconds. Where no
    * other instance reaches more, a shorter one would leave what still runs without a leader for a
    * third of the time.
    */
-  private static final long HAND_OVER_GAP_MILLIS = 30_000;
+  private static final long MIN_HANDOVER_INTERVAL_MILLIS = 30_000;
 
   private static final RowKey ELECTION =
       new RowKey(JobTables.LEADER, JobTables.LEADER_PART, "election");
@@ -59,7 +59,7 @@
   private final String self;
   private final String dataCentre;
   private final Listener listener;
-  private final LeadershipHandover succession;
+  private final LeadershipHandover handover;
   private final LeaseRow leaseRow;
   private final Map<RowKey, Row> rows = new HashMap<>();
   private LeaderLease lease = new LeaderLease();
@@ -73,7 +73,7 @@
   private long renewals;
   private long renewalSentMillis;
   private long leaseVersion;
-  private boolean leaseKnown;
+  private boolean leaseVersionKnown;
   private long campaignEpoch;
   private Moment campaignSent;
 
@@ -107,7 +107,7 @@
     this.self = self;
     this.dataCentre = instance.dataCentre();
     this.listener = listener;
-    this.succession = new LeadershipHandover(instance, HAND_OVER_GAP_MILLIS);
+    this.handover = new LeadershipHandover(instance, MIN_HANDOVER_INTERVAL_MILLIS);
     this.leaseRow = new LeaseRow(self);
   }
 
@@ -115,7 +115,7 @@
     if (stopped) {
       return;
     }
-    Moment asked = timers.now();
+    Moment requestSent = timers.now();
     store.scan(
         JobTables.LEADER,
         ELECTION.part(),
@@ -125,8 +125,8 @@
             timers.after(PAUSE_MILLIS, this::start);
             return;
           }
-          leaseRow.told(asked, timers.now(), scan.storeMillis());
-          take(scan.rows());
+          leaseRow.updateClock(requestSent, timers.now(), scan.storeMillis());
+          updateRows(scan.rows());
           position = scan.version();
           decide();
         });
@@ -159,44 +159,45 @@
     return leaseRow.inheritedLeaseEndMillis();
   }
 
-  private void take(List<Row> news) {
-    news.forEach(row -> rows.put(row.at(), row));
+  private void updateRows(List<Row> changes) {
+    changes.forEach(row -> rows.put(row.at(), row));
   }
 
   private void decide() {
     if (stopped || leading) {
       return;
     }
-    succession.observed(timers.now().mono(), rows);
+    handover.observed(timers.now().mono(), rows);
     Row held = rows.get(LEASE);
     if (held != null) {
       lease.observed(timers.now().mono(), held.version());
     }
     Optional<LeaseText> text = Optional.ofNullable(held).map(row -> LeaseText.parse(row.text()));
-    boolean open = text.isEmpty() || text.get().isFree() || heldByOurLastLife(text.get().holder());
-    if (open || lease.expired()) {
-      long spread = ThreadLocalRandom.current().nextLong(SPREAD_MILLIS);
+    boolean leaseFree =
+        text.isEmpty() || text.get().isFree() || heldByOwnPreviousIncarnation(text.get().holder());
+    if (leaseFree || lease.expired()) {
+      long spread = ThreadLocalRandom.current().nextLong(TAKEOVER_SPREAD_MILLIS);
       boolean cutOff = text.isPresent() && text.get().cutOff().equals(dataCentre);
-      long wait = (open ? spread / 10 : spread) + (cutOff ? HEAD_START_MILLIS : 0);
+      long wait = (leaseFree ? spread / 10 : spread) + (cutOff ? HEAD_START_MILLIS : 0);
       Row election = rows.get(ELECTION);
-      long last =
-          wait + (election == null ? 0 : succession.standBackMillis(rows, epochOf(election)));
-      timers.after(last, () -> campaign(held == null ? 0 : held.version()));
+      long delay =
+          wait + (election == null ? 0 : handover.standBackMillis(rows, epochOf(election)));
+      timers.after(delay, () -> campaign(held == null ? 0 : held.version()));
     } else {
-      askForLead();
+      requestLeadership();
       watch();
     }
   }
 
-  private void askForLead() {
+  private void requestLeadership() {
     Row election = rows.get(ELECTION);
     if (election != null) {
-      succession
-          .ask(timers.now().mono(), rows, election, epochOf(election))
+      handover
+          .requestLeadership(timers.now().mono(), rows, election, epochOf(election))
           .ifPresent(
-              change -> {
+              transaction -> {
                 log("leader.requested", "epoch=" + epochOf(election));
-                store.commit(change, ANSWER_MILLIS, answer -> {});
+                store.commit(transaction, COMMIT_TIMEOUT_MILLIS, result -> {});
               });
     }
   }
@@ -209,7 +210,7 @@
    * Returns whether the holder is an earlier process of this instance. That process has ended, so
    * its lease need not be waited out: after a loss of power everywhere this saves the whole wait.
    */
-  private boolean heldByOurLastLife(String holder) {
+  private boolean heldByOwnPreviousIncarnation(String holder) {
     return holder.startsWith(name + "/") && !holder.startsWith(self);
   }
 
@@ -217,17 +218,17 @@
     store.watch(
         JobTables.LEADER,
         position,
-        Math.min(WATCH_MILLIS, lease.untilExpiryMillis()),
-        news -> {
-          switch (news.outcome()) {
+        Math.min(MAX_WATCH_MILLIS, lease.untilExpiryMillis()),
+        changes -> {
+          switch (changes.outcome()) {
             case CURRENT -> {
-              take(news.rows());
-              position = Math.max(position, news.version());
+              updateRows(changes.rows());
+              position = Math.max(position, changes.version());
               decide();
             }
             case FORGOTTEN -> start();
             case FAILED -> timers.after(PAUSE_MILLIS, this::watch);
-            default -> throw new IllegalStateException("no such outcome: " + news.outcome());
+            default -> throw new IllegalStateException("no such outcome: " + changes.outcome());
           }
         });
   }
@@ -243,9 +244,9 @@
     }
     final Moment sent = campaignSent;
     // The transaction holds only if nobody renewed after the row as we know it.
-    Optional<Row> last = Optional.ofNullable(rows.get(LEASE)).filter(row -> leaseVersion > 0);
-    leaseRow.inherit(last.map(row -> LeaseText.parse(row.text())), lease.changedMillis());
-    Transaction change =
+    Optional<Row> previous = Optional.ofNullable(rows.get(LEASE)).filter(row -> leaseVersion > 0);
+    leaseRow.inherit(previous.map(row -> LeaseText.parse(row.text())), lease.changedMillis());
+    Transaction transaction =
         new Transaction(
             Map.of(ELECTION, election == null ? 0 : election.version(), LEASE, leaseVersion),
             Map.of(
@@ -254,33 +255,33 @@
                 LEASE,
                 leaseRow.held(renewals, sent, true),
                 LeadershipHandover.CAPACITY,
-                succession.taken()),
+                handover.capacityPayload()),
             List.of());
     store.commit(
-        change,
-        ANSWER_MILLIS,
-        answer -> {
-          if (answer.outcome() == CommitResult.Outcome.DONE) {
-            won(next, answer.version(), sent);
+        transaction,
+        COMMIT_TIMEOUT_MILLIS,
+        result -> {
+          if (result.outcome() == CommitResult.Outcome.DONE) {
+            won(next, result.version(), sent);
           } else {
-            log("leader.notWon", "epoch=" + next + " " + answer.outcome());
-            afterLost(next, sent);
+            log("leader.notWon", "epoch=" + next + " " + result.outcome());
+            checkTakeover(next, sent);
           }
         });
   }
 
   /** A takeover whose answer was lost may still be in the store. */
-  private void afterLost(long next, Moment sent) {
+  private void checkTakeover(long next, Moment sent) {
     store.scan(
         JobTables.LEADER,
         ELECTION.part(),
         "",
         scan -> {
           if (!scan.answered()) {
-            timers.after(PAUSE_MILLIS, () -> afterLost(next, sent));
+            timers.after(PAUSE_MILLIS, () -> checkTakeover(next, sent));
             return;
           }
-          take(scan.rows());
+          updateRows(scan.rows());
           position = scan.version();
           Row election = rows.get(ELECTION);
           if (election != null && election.text().equals(next + " " + self)) {
@@ -300,12 +301,12 @@
     epoch = won;
     electionVersion = version;
     leaseVersion = version;
-    leaseKnown = true;
+    leaseVersionKnown = true;
     lease = new LeaderLease();
     lease.renewed(sent);
     renewalSentMillis = sent.mono();
     log("leader.won", "epoch=" + epoch);
-    succession.began(rows);
+    handover.began(rows);
     listener.won(won);
     timers.after(RENEW_MILLIS, () -> renew(won));
   }
@@ -336,48 +337,48 @@
     renewalSentMillis = sent.mono();
     Map<RowKey, Long> expected = new HashMap<>();
     expected.put(ELECTION, electionVersion);
-    expected.put(LeadershipHandover.REQUEST, succession.heardVersion());
+    expected.put(LeadershipHandover.REQUEST, handover.requestVersion());
     // An unanswered copy that is carried out late would put its old time over a newer one, and the
     // next leader would not wait for all leases. So a renewal says its time only where it expects
     // the row as our last one left it; any other says none.
-    boolean stated = leaseKnown;
-    if (stated) {
+    boolean includesTime = leaseVersionKnown;
+    if (includesTime) {
       expected.put(LEASE, leaseVersion);
     }
-    leaseKnown = false;
-    Payload text = leaseRow.held(renewals, sent, stated);
-    Transaction change = new Transaction(expected, Map.of(LEASE, text), List.of());
+    leaseVersionKnown = false;
+    Payload text = leaseRow.held(renewals, sent, includesTime);
+    Transaction transaction = new Transaction(expected, Map.of(LEASE, text), List.of());
     long number = renewals;
-    store.commit(change, ANSWER_MILLIS, answer -> renewed(term, number, sent, answer));
+    store.commit(transaction, COMMIT_TIMEOUT_MILLIS, result -> renewed(term, number, sent, result));
   }
 
-  private void renewed(long term, long number, Moment sent, CommitResult answer) {
+  private void renewed(long term, long number, Moment sent, CommitResult result) {
     if (!leading || epoch != term) {
       return;
     }
-    leaseRow.told(sent, timers.now(), answer.storeMillis());
-    if (answer.outcome() == CommitResult.Outcome.DONE) {
+    leaseRow.updateClock(sent, timers.now(), result.storeMillis());
+    if (result.outcome() == CommitResult.Outcome.DONE) {
       lease.renewed(sent);
-      leaseVersion = Math.max(leaseVersion, answer.version());
+      leaseVersion = Math.max(leaseVersion, result.version());
       // Behind a late answer newer renewals are under way. One that expected the row as this one
       // left it would conflict, and while answers are late so would each after it.
-      leaseKnown = number == renewals;
-      makeWay();
-    } else if (answer.outcome() == CommitResult.Outcome.CONFLICT) {
-      conflicted(term, answer);
+      leaseVersionKnown = number == renewals;
+      yieldLeadership();
+    } else if (result.outcome() == CommitResult.Outcome.CONFLICT) {
+      conflicted(term, result);
     } else {
-      log("leader.renewalFailed", answer.outcome().toString());
+      log("leader.renewalFailed", result.outcome().toString());
     }
   }
 
   /**
    * A renewal conflicts when another instance has taken over, and when one has asked for the lead.
    */
-  private void conflicted(long term, CommitResult answer) {
-    if (answer.current(ELECTION).map(Row::version).orElse(0L) != electionVersion) {
+  private void conflicted(long term, CommitResult result) {
+    if (result.current(ELECTION).map(Row::version).orElse(0L) != electionVersion) {
       stepDown("another instance has taken over");
-    } else if (succession.heard(term, answer.current(LeadershipHandover.REQUEST))) {
-      makeWay();
+    } else if (handover.updateRequest(term, result.current(LeadershipHandover.REQUEST))) {
+      yieldLeadership();
       if (leading) {
         sendRenewal(term);
       }
@@ -392,9 +393,9 @@
    * whose data centre this leader does not reach may be cut off from most workers, and is not
    * answered.
    */
-  private void makeWay() {
-    succession
-        .heard()
+  private void yieldLeadership() {
+    handover
+        .pendingRequest()
         .filter(request -> listener.mayYieldLeadershipTo(request.dataCentre()))
         .ifPresent(
             request ->
@@ -421,7 +422,7 @@
     log("leader.lost", "epoch=" + epoch + " " + reason);
     leading = false;
     lease = new LeaderLease();
-    succession.ended(timers.now().mono());
+    handover.ended(timers.now().mono());
     listener.lost();
   }
 
@@ -441,10 +442,10 @@
 
   private void handOver(String reason, Map<RowKey, Payload> writes) {
     long now = timers.now().mono();
-    if (leading && now - handedOverMillis >= HAND_OVER_GAP_MILLIS) {
+    if (leading && now - handedOverMillis >= MIN_HANDOVER_INTERVAL_MILLIS) {
       handedOverMillis = now;
       endTerm(reason);
-      giveBack(writes, answer -> timers.after(PAUSE_MILLIS, this::start));
+      releaseLease(writes, result -> timers.after(PAUSE_MILLIS, this::start));
     }
   }
 
@@ -453,9 +454,9 @@
   }
 
   /** Gives the lease back, unless another instance has taken over meanwhile. */
-  private void giveBack(Map<RowKey, Payload> writes, Consumer<CommitResult> done) {
-    Transaction change = new Transaction(Map.of(ELECTION, electionVersion), writes, List.of());
-    store.commit(change, ANSWER_MILLIS, done);
+  private void releaseLease(Map<RowKey, Payload> writes, Consumer<CommitResult> done) {
+    Transaction transaction = new Transaction(Map.of(ELECTION, electionVersion), writes, List.of());
+    store.commit(transaction, COMMIT_TIMEOUT_MILLIS, done);
   }
 
   /** Leaves for good: gives the lease back so that another instance need not wait for it. */
@@ -466,7 +467,7 @@
       return;
     }
     leading = false;
-    giveBack(Map.of(LEASE, free("")), answer -> done.run());
+    releaseLease(Map.of(LEASE, free("")), result -> done.run());
   }
 
   private void log(String event, String detail) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -52,8 +52,8 @@
 
   private final Instance instance;
   private final Candidacy candidacy;
-  private long heardVersion;
-  private Optional<Request> heard = Optional.empty();
+  private long requestVersion;
+  private Optional<Request> pendingRequest = Optional.empty();
 
   /**
    * Begins without news.
@@ -92,9 +92,9 @@
    * and one that asked it in vain.
    */
   long standBackMillis(Map<RowKey, Row> rows, long epoch) {
-    Optional<Capacity> asked =
+    Optional<Capacity> requested =
         request(rows).filter(request -> request.epoch() == epoch).map(Request::capacity);
-    return Stream.of(capacity(rows.get(CAPACITY)), asked)
+    return Stream.of(capacity(rows.get(CAPACITY)), requested)
         .flatMap(Optional::stream)
         .mapToLong(candidacy::standBackMillis)
         .max()
@@ -102,7 +102,7 @@
   }
 
   /** Returns what a takeover writes. */
-  Payload taken() {
+  Payload capacityPayload() {
     return Payload.of(instance.capacity().text());
   }
 
@@ -113,11 +113,12 @@
    * @param election the row of the current term
    * @param epoch its number
    */
-  Optional<Transaction> ask(long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
+  Optional<Transaction> requestLeadership(
+      long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
     Row held = rows.get(CAPACITY);
     // Another version of the product that took over has not written the row, and hears no requests.
-    boolean hears = held != null && held.version() == election.version();
-    if (!hears || !mayAsk(nowMillis, epoch, held)) {
+    boolean supportsRequests = held != null && held.version() == election.version();
+    if (!supportsRequests || !mayRequest(nowMillis, epoch, held)) {
       return Optional.empty();
     }
     candidacy.asking(nowMillis, epoch);
@@ -129,7 +130,7 @@
             List.of()));
   }
 
-  private boolean mayAsk(long nowMillis, long epoch, Row held) {
+  private boolean mayRequest(long nowMillis, long epoch, Row held) {
     return capacity(held).filter(leader -> candidacy.mayAsk(nowMillis, epoch, leader)).isPresent();
   }
 
@@ -141,13 +142,13 @@
 
   /** Begins a term with the rows as they were last seen. */
   void began(Map<RowKey, Row> rows) {
-    heardVersion = version(rows.get(REQUEST));
-    heard = Optional.empty();
+    requestVersion = version(rows.get(REQUEST));
+    pendingRequest = Optional.empty();
   }
 
   /** Returns the version that a renewal expects of the request. */
-  long heardVersion() {
-    return heardVersion;
+  long requestVersion() {
+    return requestVersion;
   }
 
   /**
@@ -156,19 +157,20 @@
    * @param epoch the term that this instance leads; requests to earlier ones are nothing to it
    * @return whether it is news
    */
-  boolean heard(long epoch, Optional<Row> row) {
+  boolean updateRequest(long epoch, Optional<Row> row) {
     long version = row.map(Row::version).orElse(0L);
-    if (version == heardVersion) {
+    if (version == requestVersion) {
       return false;
     }
-    heardVersion = version;
-    heard = row.map(Row::text).flatMap(Request::parse).filter(asked -> asked.epoch() == epoch);
+    requestVersion = version;
+    pendingRequest =
+        row.map(Row::text).flatMap(Request::parse).filter(requested -> requested.epoch() == epoch);
     return true;
   }
 
   /** Returns the request that was heard and not answered. */
-  Optional<Request> heard() {
-    return heard;
+  Optional<Request> pendingRequest() {
+    return pendingRequest;
   }
 
   /** Returns what a leader writes that gives the lead away; it is no request. */
@@ -178,7 +180,7 @@
 
   /** Ends a term. */
   void ended(long nowMillis) {
-    heard = Optional.empty();
+    pendingRequest = Optional.empty();
     candidacy.keepQuiet(nowMillis);
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
@@ -28,12 +28,12 @@
   /**
    * Takes in what the store's clock said between a question and its answer.
    *
-   * @param asked when we asked
-   * @param heard when we heard
+   * @param requestSent when we asked
+   * @param received when we heard
    * @param storeMillis the store's clock, in milliseconds; 0 if it did not say
    */
-  void told(Moment asked, Moment heard, long storeMillis) {
-    clock.told(asked, heard, storeMillis);
+  void updateClock(Moment requestSent, Moment received, long storeMillis) {
+    clock.update(requestSent, received, storeMillis);
   }
 
   /**
@@ -43,7 +43,7 @@
    * @param changedMillis steady time at which we saw the row change, in milliseconds
    */
   void inherit(Optional<LeaseText> last, long changedMillis) {
-    inheritedLeaseEndMillis = last.map(text -> lapse(text, changedMillis)).orElse(0L);
+    inheritedLeaseEndMillis = last.map(text -> leaseEndMillis(text, changedMillis)).orElse(0L);
   }
 
   /**
@@ -59,13 +59,14 @@
    * when the row was written, as far as the store's clock tells, at the latest from when we saw it
    * first. A process that began after the holder's death saw the row late.
    */
-  private long lapse(LeaseText text, long changedMillis) {
-    long seen = changedMillis + text.grantMillis();
+  private long leaseEndMillis(LeaseText text, long changedMillis) {
+    long endByObservation = changedMillis + text.grantMillis();
     if (text.sentMillis() == 0) {
-      return seen;
+      return endByObservation;
     }
-    long stated = clock.reached(text.sentMillis() + text.grantMillis()).orElse(seen);
-    return Math.min(seen, stated);
+    long endByStoreClock =
+        clock.reached(text.sentMillis() + text.grantMillis()).orElse(endByObservation);
+    return Math.min(endByObservation, endByStoreClock);
   }
 
   /**
@@ -73,11 +74,11 @@
    *
    * @param renewals how often this process has renewed it
    * @param sent when it is sent
-   * @param stated whether it says so, by the store's clock
+   * @param includesTime whether it says so, by the store's clock
    */
-  Payload held(long renewals, Moment sent, boolean stated) {
-    long grant = Math.max(LeaderLease.GRANT_MILLIS, inheritedMillis(sent));
-    OptionalLong sentMillis = stated ? clock.latest(sent) : OptionalLong.empty();
+  Payload held(long renewals, Moment sent, boolean includesTime) {
+    long grant = Math.max(LeaderLease.GRANT_MILLIS, remainingInheritedMillis(sent));
+    OptionalLong sentMillis = includesTime ? clock.latest(sent) : OptionalLong.empty();
     return Payload.of(LeaseText.held(self, renewals, grant, sentMillis));
   }
 
@@ -92,12 +93,12 @@
    */
   Payload free(String cutOff, Moment now, boolean begun) {
     long own = begun ? LeaderLease.GRANT_MILLIS : 0;
-    long grant = Math.max(own, inheritedMillis(now));
+    long grant = Math.max(own, remainingInheritedMillis(now));
     return Payload.of(LeaseText.free(cutOff, grant, clock.latest(now)));
   }
 
   /** Returns how long leases may still last that leaders before this one gave. */
-  private long inheritedMillis(Moment now) {
+  private long remainingInheritedMillis(Moment now) {
     return inheritedLeaseEndMillis - now.mono();
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseText.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseText.java
@@ -18,13 +18,13 @@
 record LeaseText(String holder, String cutOff, long grantMillis, long sentMillis) {
 
   /** What a row holds that does not say how long its writer's grants last: 5.5 s and 9 s of old. */
-  static final long UNSTATED_GRANT_MILLIS = 14_500;
+  static final long DEFAULT_GRANT_MILLIS = 14_500;
 
   private static final String FREE = "free";
-  private static final String NOWHERE = "-";
+  private static final String NO_DATA_CENTRE = "-";
 
   /** Holds the lease that cannot be read: taken for nobody, it would lose the lead at once. */
-  private static final String UNKNOWN = "?";
+  private static final String UNKNOWN_HOLDER = "?";
 
   private static final int GRANT = 2;
   private static final int SENT = 3;
@@ -33,18 +33,18 @@
   static LeaseText parse(String text) {
     String[] words = text.split(" ", -1);
     boolean free = words[0].equals(FREE);
-    String second = words.length > 1 ? words[1] : NOWHERE;
+    String second = words.length > 1 ? words[1] : NO_DATA_CENTRE;
     return new LeaseText(
-        free ? "" : words[0].isEmpty() ? UNKNOWN : words[0],
-        free && !second.equals(NOWHERE) ? second : "",
-        number(words, GRANT, UNSTATED_GRANT_MILLIS),
+        free ? "" : words[0].isEmpty() ? UNKNOWN_HOLDER : words[0],
+        free && !second.equals(NO_DATA_CENTRE) ? second : "",
+        number(words, GRANT, DEFAULT_GRANT_MILLIS),
         number(words, SENT, 0));
   }
 
   /** A text of another version may say more or less; the longest wait is always safe. */
-  private static long number(String[] words, int at, long otherwise) {
-    boolean stated = words.length > at && NUMBER.matcher(words[at]).matches();
-    return stated ? Long.parseLong(words[at]) : otherwise;
+  private static long number(String[] words, int index, long defaultValue) {
+    boolean stated = words.length > index && NUMBER.matcher(words[index]).matches();
+    return stated ? Long.parseLong(words[index]) : defaultValue;
   }
 
   /** Returns the text of a holder's renewal. */
@@ -54,7 +54,7 @@
 
   /** Returns the text of a lease given back, of no data centre or of one that was cut off. */
   static String free(String cutOff, long grantMillis, OptionalLong sentMillis) {
-    String where = cutOff.isEmpty() ? NOWHERE : cutOff;
+    String where = cutOff.isEmpty() ? NO_DATA_CENTRE : cutOff;
     return FREE + " " + where + " " + grantMillis + " " + sentMillis.orElse(0);
   }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
@@ -17,7 +17,7 @@
 final class ProgressStore {
 
   /** Longest wait for one answer, in milliseconds: covers a store that is 60 times slower. */
-  private static final long LONGEST_WAIT_MILLIS = 2_400;
+  private static final long MAX_TIMEOUT_MILLIS = 2_400;
 
   /** Pause after a call that failed, in milliseconds. */
   private static final long PAUSE_MILLIS = 100;
@@ -86,10 +86,10 @@
     }
     store.commit(
         Transaction.write(JobTables.FENCE, held.map(Row::version).orElse(0L), fence()),
-        LONGEST_WAIT_MILLIS,
-        answer -> {
-          if (answer.outcome() == CommitResult.Outcome.DONE) {
-            fenceVersion = answer.version();
+        MAX_TIMEOUT_MILLIS,
+        result -> {
+          if (result.outcome() == CommitResult.Outcome.DONE) {
+            fenceVersion = result.version();
             done.accept(found(rows));
           } else {
             timers.after(PAUSE_MILLIS, () -> takeOver(done));
@@ -127,33 +127,37 @@
     if (!save.learned().isEmpty()) {
       writes.put(JobTables.LEARNED, Payload.of(save.learned()));
     }
-    Transaction change = new Transaction(Map.of(JobTables.FENCE, fenceVersion), writes, List.of());
-    commit(change, store.patienceMillis(), onSaved);
+    Transaction transaction =
+        new Transaction(Map.of(JobTables.FENCE, fenceVersion), writes, List.of());
+    commit(transaction, store.patienceMillis(), onSaved);
   }
 
   /**
    * Sends the same change until it is certainly stored. Without the fence row's version an
    * unanswered copy could be carried out after newer writes and bring an old state back.
    */
-  private void commit(Transaction change, long waitMillis, Runnable onSaved) {
+  private void commit(Transaction transaction, long timeoutMillis, Runnable onSaved) {
     if (!stopped) {
-      store.commit(change, waitMillis, answer -> committed(change, waitMillis, onSaved, answer));
+      store.commit(
+          transaction,
+          timeoutMillis,
+          result -> committed(transaction, timeoutMillis, onSaved, result));
     }
   }
 
   private void committed(
-      Transaction change, long waitMillis, Runnable onSaved, CommitResult answer) {
-    switch (answer.outcome()) {
-      case DONE -> saved(answer.version(), onSaved);
-      case REFUSED -> timers.after(PAUSE_MILLIS, () -> commit(change, waitMillis, onSaved));
-      case UNKNOWN -> commit(change, Math.min(2 * waitMillis, LONGEST_WAIT_MILLIS), onSaved);
-      case CONFLICT -> conflict(answer, onSaved);
-      default -> throw new IllegalStateException("no such outcome: " + answer.outcome());
+      Transaction transaction, long timeoutMillis, Runnable onSaved, CommitResult result) {
+    switch (result.outcome()) {
+      case DONE -> saved(result.version(), onSaved);
+      case REFUSED -> timers.after(PAUSE_MILLIS, () -> commit(transaction, timeoutMillis, onSaved));
+      case UNKNOWN -> commit(transaction, Math.min(2 * timeoutMillis, MAX_TIMEOUT_MILLIS), onSaved);
+      case CONFLICT -> conflict(result, onSaved);
+      default -> throw new IllegalStateException("no such outcome: " + result.outcome());
     }
   }
 
-  private void conflict(CommitResult answer, Runnable onSaved) {
-    Row fence = answer.current(JobTables.FENCE).orElse(null);
+  private void conflict(CommitResult result, Runnable onSaved) {
+    Row fence = result.current(JobTables.FENCE).orElse(null);
     if (fence != null && fence.text().equals(fence())) {
       saved(fence.version(), onSaved);
     } else {
--- a/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
@@ -12,35 +12,35 @@
 final class StartGate {
 
   private final Timers timers;
-  private final Map<FreshnessLimit, Supplier<Moment>> asked;
+  private final Map<FreshnessLimit, Supplier<Moment>> requestTimes;
 
   /**
    * Creates a gate.
    *
-   * @param asked when the question was sent that brought the last news of each kind
+   * @param requestTimes when the question was sent that brought the last news of each kind
    */
-  StartGate(Timers timers, Map<FreshnessLimit, Supplier<Moment>> asked) {
+  StartGate(Timers timers, Map<FreshnessLimit, Supplier<Moment>> requestTimes) {
     this.timers = timers;
-    this.asked = Map.copyOf(asked);
+    this.requestTimes = Map.copyOf(requestTimes);
   }
 
   /** Returns how old the last news of a kind is, in milliseconds. */
-  long ageMillis(FreshnessLimit news) {
-    return timers.now().longestSince(asked.get(news).get());
+  long ageMillis(FreshnessLimit limit) {
+    return timers.now().longestSince(requestTimes.get(limit).get());
   }
 
   /** Returns whether an order to start may leave now. */
   boolean open() {
-    return asked.keySet().stream().allMatch(news -> news.lets(ageMillis(news)));
+    return requestTimes.keySet().stream().allMatch(limit -> limit.allows(ageMillis(limit)));
   }
 
   /** Returns until when work may begin by the news that there is, on our steady clock. */
-  long closesMillis() {
-    long left =
-        asked.keySet().stream()
-            .mapToLong(news -> news.leftMillis(ageMillis(news)))
+  long startDeadlineMillis() {
+    long remaining =
+        requestTimes.keySet().stream()
+            .mapToLong(limit -> limit.remainingMillis(ageMillis(limit)))
             .min()
             .orElseThrow();
-    return timers.now().mono() + left;
+    return timers.now().mono() + remaining;
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/StoreClock.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StoreClock.java
@@ -9,31 +9,31 @@
  */
 final class StoreClock {
 
-  private long toldMillis;
-  private Moment asked;
-  private long leastAheadMillis;
+  private long lastStoreMillis;
+  private Moment lastRequestSent;
+  private long minOffsetMillis;
 
   /**
    * Takes in an answer.
    *
-   * @param asked when the question was sent
+   * @param requestSent when the question was sent
    * @param received when the answer came
    * @param storeMillis what it says, in milliseconds; 0 when it says nothing
    */
-  void told(Moment asked, Moment received, long storeMillis) {
+  void update(Moment requestSent, Moment received, long storeMillis) {
     if (storeMillis == 0) {
       return;
     }
-    leastAheadMillis = storeMillis - received.mono();
-    toldMillis = storeMillis;
-    this.asked = asked;
+    minOffsetMillis = storeMillis - received.mono();
+    lastStoreMillis = storeMillis;
+    this.lastRequestSent = requestSent;
   }
 
   /** Returns the latest time that the store's clock may show now; nothing before an answer. */
   OptionalLong latest(Moment now) {
-    return asked == null
+    return lastRequestSent == null
         ? OptionalLong.empty()
-        : OptionalLong.of(toldMillis + now.longestSince(asked));
+        : OptionalLong.of(lastStoreMillis + now.longestSince(lastRequestSent));
   }
 
   /**
@@ -42,6 +42,8 @@
    * the result later than need be.
    */
   OptionalLong reached(long storeMillis) {
-    return asked == null ? OptionalLong.empty() : OptionalLong.of(storeMillis - leastAheadMillis);
+    return lastRequestSent == null
+        ? OptionalLong.empty()
+        : OptionalLong.of(storeMillis - minOffsetMillis);
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
@@ -29,13 +29,13 @@
   private static final long PAUSE_MILLIS = 150;
 
   /** Wait where an answer is wanted at once, in milliseconds; the store may not know one of 0. */
-  private static final long SHORTEST_WAIT_MILLIS = 1;
+  private static final long MIN_WAIT_MILLIS = 1;
 
   /** Stands for a time long ago, where there was no answer yet. */
   public static final Moment NEVER = new Moment(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
   /** One call for news, told apart from those given up for it. */
-  private record Question(Moment sent, long number) {}
+  private record Request(Moment sent, long number) {}
 
   private final TableStore store;
   private final Timers timers;
@@ -43,17 +43,17 @@
   private final List<String> parts;
   private final Consumer<Row> listener;
   private final Runnable onCurrent;
-  private final Map<RowKey, Long> known = new HashMap<>();
+  private final Map<RowKey, Long> knownVersions = new HashMap<>();
   private boolean stopped;
   private long waitMillis = WAIT_MILLIS;
   private long catchUpWaitMillis = WAIT_MILLIS;
-  private long gapMillis;
+  private long minIntervalMillis;
   private long position;
-  private Question open;
-  private long questions;
+  private Request openRequest;
+  private long requestCount;
   private Moment lastRequestSent = NEVER;
-  private Moment telling = NEVER;
-  private Moment answered = NEVER;
+  private Moment deliveredRequestSent = NEVER;
+  private Moment lastResponseReceived = NEVER;
   private boolean failing;
   private boolean current;
 
@@ -87,7 +87,7 @@
    * @return this
    */
   public TableWatcher withMinInterval(long millis) {
-    gapMillis = millis;
+    minIntervalMillis = millis;
     return this;
   }
 
@@ -100,7 +100,7 @@
    */
   public TableWatcher withMaxWait(long millis) {
     waitMillis = millis;
-    catchUpWaitMillis = SHORTEST_WAIT_MILLIS;
+    catchUpWaitMillis = MIN_WAIT_MILLIS;
     return this;
   }
 
@@ -116,7 +116,7 @@
 
   /** Returns when the store last answered, on our steady clock. */
   public long lastContactMillis() {
-    return answered.mono();
+    return lastResponseReceived.mono();
   }
 
   /**
@@ -128,13 +128,13 @@
   }
 
   /** Returns when the question was sent whose answer is being told, or was told last. */
-  public Moment telling() {
-    return telling;
+  public Moment deliveredRequestSent() {
+    return deliveredRequestSent;
   }
 
   /** Returns when the store's last answer was taken in. */
-  public Moment answered() {
-    return answered;
+  public Moment lastResponseReceived() {
+    return lastResponseReceived;
   }
 
   private void scan(Moment began, List<Row> rows, long oldest, int index) {
@@ -151,7 +151,7 @@
         "",
         scan -> {
           if (!scan.answered()) {
-            failed("scan");
+            recordFailure("scan");
             timers.after(PAUSE_MILLIS, this::start);
             return;
           }
@@ -164,32 +164,33 @@
     if (stopped) {
       return;
     }
-    heard(began);
+    recordResponse(began);
     Set<RowKey> present = new HashSet<>();
     rows.forEach(row -> present.add(row.at()));
-    List<RowKey> vanished = known.keySet().stream().filter(k -> !present.contains(k)).toList();
-    vanished.forEach(key -> tell(new Row(key, Payload.EMPTY, version, true)));
-    rows.forEach(this::tell);
+    List<RowKey> vanished =
+        knownVersions.keySet().stream().filter(k -> !present.contains(k)).toList();
+    vanished.forEach(key -> deliver(new Row(key, Payload.EMPTY, version, true)));
+    rows.forEach(this::deliver);
     position = version;
     lastRequestSent = began;
     if (!current) {
       current = true;
       onCurrent.run();
     }
-    follow(old(began) ? SHORTEST_WAIT_MILLIS : catchUpWaitMillis);
+    watch(isStale(began) ? MIN_WAIT_MILLIS : catchUpWaitMillis);
   }
 
-  private void follow(long wait) {
+  private void watch(long wait) {
     if (!stopped) {
-      questions++;
-      Question question = new Question(timers.now(), questions);
-      open = question;
-      store.watch(table, position, wait, news -> news(question, news));
+      requestCount++;
+      Request request = new Request(timers.now(), requestCount);
+      openRequest = request;
+      store.watch(table, position, wait, changes -> onChanges(request, changes));
     }
   }
 
   /** Returns whether what was asked for then is older than a wait for it explains. */
-  private boolean old(Moment sent) {
+  private boolean isStale(Moment sent) {
     return timers.now().longestSince(sent) > 2 * waitMillis;
   }
 
@@ -198,31 +199,33 @@
    * since the question under way was sent: its answer will be old by its date.
    */
   public void refreshAfterClockJump() {
-    if (open != null && leapt(open.sent())) {
-      follow(SHORTEST_WAIT_MILLIS);
+    if (openRequest != null && clockJumped(openRequest.sent())) {
+      watch(MIN_WAIT_MILLIS);
     }
   }
 
-  private boolean leapt(Moment since) {
+  private boolean clockJumped(Moment since) {
     Moment now = timers.now();
     return now.wall() - since.wall() > now.mono() - since.mono() + waitMillis;
   }
 
-  private void news(Question question, TableStore.Changes news) {
-    if (stopped || !question.equals(open)) {
+  private void onChanges(Request request, TableStore.Changes changes) {
+    if (stopped || !request.equals(openRequest)) {
       return;
     }
-    open = null;
-    switch (news.outcome()) {
+    openRequest = null;
+    switch (changes.outcome()) {
       case CURRENT -> {
-        heard(question.sent());
-        news.rows().stream().filter(row -> parts.contains(row.at().part())).forEach(this::tell);
-        position = Math.max(position, news.version());
-        lastRequestSent = question.sent();
-        if (gapMillis > 0 && !news.rows().isEmpty()) {
-          timers.after(gapMillis, () -> follow(waitMillis));
+        recordResponse(request.sent());
+        changes.rows().stream()
+            .filter(row -> parts.contains(row.at().part()))
+            .forEach(this::deliver);
+        position = Math.max(position, changes.version());
+        lastRequestSent = request.sent();
+        if (minIntervalMillis > 0 && !changes.rows().isEmpty()) {
+          timers.after(minIntervalMillis, () -> watch(waitMillis));
         } else {
-          follow(old(lastRequestSent) ? SHORTEST_WAIT_MILLIS : waitMillis);
+          watch(isStale(lastRequestSent) ? MIN_WAIT_MILLIS : waitMillis);
         }
       }
       case FORGOTTEN -> {
@@ -230,22 +233,22 @@
         start();
       }
       case FAILED -> {
-        failed("follow");
-        timers.after(PAUSE_MILLIS, () -> follow(catchUpWaitMillis));
+        recordFailure("follow");
+        timers.after(PAUSE_MILLIS, () -> watch(catchUpWaitMillis));
       }
-      default -> throw new IllegalStateException("no such outcome: " + news.outcome());
+      default -> throw new IllegalStateException("no such outcome: " + changes.outcome());
     }
   }
 
-  private void tell(Row row) {
-    Long before = known.get(row.at());
+  private void deliver(Row row) {
+    Long before = knownVersions.get(row.at());
     if (before != null && before >= row.version()) {
       return;
     }
     if (row.removed()) {
-      known.remove(row.at());
+      knownVersions.remove(row.at());
     } else {
-      known.put(row.at(), row.version());
+      knownVersions.put(row.at(), row.version());
     }
     try {
       listener.accept(row);
@@ -257,16 +260,16 @@
     }
   }
 
-  private void heard(Moment sent) {
-    telling = sent;
-    answered = timers.now();
+  private void recordResponse(Moment sent) {
+    deliveredRequestSent = sent;
+    lastResponseReceived = timers.now();
     if (failing) {
       failing = false;
       LOG.info("the store answers again about {}", table);
     }
   }
 
-  private void failed(String call) {
+  private void recordFailure(String call) {
     if (!failing) {
       failing = true;
       LOG.warn("the store does not answer about {} ({})", table, call);
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerClient.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerClient.java
@@ -23,7 +23,7 @@
 
   /** Looks at a worker and renews the lease of what runs there. */
   void poll(
-      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done);
+      JobEffect.LookAtWorker poll, long epoch, BooleanSupplier allowed, Consumer<PollResult> done);
 
   /** Sets the pace of a run; the consumer gets whether the worker answered that it did. */
   void pace(JobEffect.PaceRun pace, long epoch, Consumer<Boolean> done);
--- a/daemon/src/test/java/org/cottontack/daemon/job/ElectionSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/ElectionSimulation.java
@@ -20,12 +20,13 @@
     final List<String> events = new ArrayList<>();
     boolean reachesStore = true;
     boolean begins = true;
-    String hidden = "nowhere";
+    String unreachableDataCentre = "nowhere";
 
-    Candidate(VirtualTimers time, FakeTableStore store, Instance instance, int life) {
+    Candidate(VirtualTimers time, FakeTableStore store, Instance instance, int incarnation) {
       timers = time.process();
       TableStore seen = store.seenBy(timers, call -> reachesStore);
-      leadership = new Leadership(seen, timers, instance, instance.name() + "/" + life, this);
+      leadership =
+          new Leadership(seen, timers, instance, instance.name() + "/" + incarnation, this);
       leadership.start();
     }
 
@@ -44,19 +45,19 @@
 
     @Override
     public boolean mayYieldLeadershipTo(String dataCentre) {
-      return !dataCentre.equals(hidden);
+      return !dataCentre.equals(unreachableDataCentre);
     }
   }
 
-  Candidate candidate(String name, int life) {
-    return candidate(name, life, "dc");
+  Candidate candidate(String name, int incarnation) {
+    return candidate(name, incarnation, "dc");
   }
 
-  Candidate candidate(String name, int life, String dataCentre) {
-    return candidate(new Instance(name, dataCentre, SMALL), life);
+  Candidate candidate(String name, int incarnation, String dataCentre) {
+    return candidate(new Instance(name, dataCentre, SMALL), incarnation);
   }
 
-  Candidate candidate(Instance instance, int life) {
-    return new Candidate(time, store, instance, life);
+  Candidate candidate(Instance instance, int incarnation) {
+    return new Candidate(time, store, instance, incarnation);
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
@@ -27,13 +27,13 @@
       assertTrue(after >= LeaderLease.GRANT_MILLIS - 500, "after " + after);
     }
 
-    private static void assertWaitsFor(long given, Candidate next) {
+    private static void assertWaitsFor(long grantEnd, Candidate next) {
       assertTrue(next.leadership.leading());
-      long lapse = next.leadership.inheritedLeaseEndMillis();
-      assertTrue(lapse >= given, "too early by " + (given - lapse));
+      long leaseEnd = next.leadership.inheritedLeaseEndMillis();
+      assertTrue(leaseEnd >= grantEnd, "too early by " + (grantEnd - leaseEnd));
     }
 
-    private static long lastGiven(Candidate leader) {
+    private static long lastGrantEnd(Candidate leader) {
       return leader.leadership.renewal().mono() + LeaderLease.GRANT_MILLIS;
     }
 
@@ -44,14 +44,14 @@
      */
     @Test
     public void countsInheritedLeasesFromTheLastRenewal() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(3_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(3_000);
       first.timers.killed = true;
       final long death = second.timers.now().mono();
-      lab.time.run(4_000);
+      simulation.time.run(4_000);
       assertCountedFrom(death, second);
     }
 
@@ -60,15 +60,15 @@
      * leader's last renewal, by the store's clock, and not from its own first look.
      */
     @Test
-    public void countsInheritedLeasesFromBeforeItsOwnLife() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(4_000);
+    public void countsInheritedLeasesFromBeforeItsOwnStart() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(4_000);
       first.timers.killed = true;
-      final long death = lab.time.process().now().mono();
-      lab.time.run(3_000);
-      Candidate next = lab.candidate("b", 1);
-      lab.time.run(4_000);
+      final long death = simulation.time.process().now().mono();
+      simulation.time.run(3_000);
+      Candidate next = simulation.candidate("b", 1);
+      simulation.time.run(4_000);
       assertCountedFrom(death, next);
     }
 
@@ -78,22 +78,25 @@
      */
     @Test
     public void waitsForLongerLeasesOfAnOlderVersion() {
-      ElectionSimulation lab = new ElectionSimulation();
+      ElectionSimulation simulation = new ElectionSimulation();
       RowKey row = new RowKey(JobTables.LEADER, "leader", "lease");
       Transaction old = new Transaction(Map.of(), Map.of(row, Payload.of("old/1 17")), List.of());
-      lab.store.seenBy(lab.time.process(), call -> true).commit(old, 1_000, answer -> {});
-      lab.time.run(100);
-      Candidate first = lab.candidate("a", 1);
+      simulation
+          .store
+          .seenBy(simulation.time.process(), call -> true)
+          .commit(old, 1_000, answer -> {});
+      simulation.time.run(100);
+      Candidate first = simulation.candidate("a", 1);
       final long seen = first.timers.now().mono();
-      lab.time.run(4_000);
+      simulation.time.run(4_000);
       assertTrue(first.leadership.leading());
-      long lapse = first.leadership.inheritedLeaseEndMillis();
-      assertTrue(lapse >= seen + LeaseText.UNSTATED_GRANT_MILLIS, "after " + (lapse - seen));
-      final Candidate second = lab.candidate("b", 1);
+      long leaseEnd = first.leadership.inheritedLeaseEndMillis();
+      assertTrue(leaseEnd >= seen + LeaseText.DEFAULT_GRANT_MILLIS, "after " + (leaseEnd - seen));
+      final Candidate second = simulation.candidate("b", 1);
       first.leadership.leave(() -> {});
-      lab.time.run(500);
+      simulation.time.run(500);
       assertTrue(second.leadership.leading());
-      assertTrue(second.leadership.inheritedLeaseEndMillis() >= lapse);
+      assertTrue(second.leadership.inheritedLeaseEndMillis() >= leaseEnd);
     }
 
     /**
@@ -102,14 +105,14 @@
      * last one, or tasks on a worker that it does not reach would run twice for 2.5 s.
      */
     @Test
-    public void lateRenewalsSayNoOldTime() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(3_000);
+    public void lateRenewalsStateNoOutdatedTime() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(3_000);
       long[] at = {0};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             if (at[0] == 0 && change.writes().containsKey(LEASE)) {
               at[0] = first.timers.now().mono();
@@ -118,14 +121,14 @@
             return FakeTableStore.Fate.GOOD;
           };
       while (at[0] == 0) {
-        lab.time.run(1);
+        simulation.time.run(1);
       }
-      lab.time.run(at[0] + 2_990 - first.timers.now().mono());
+      simulation.time.run(at[0] + 2_990 - first.timers.now().mono());
       assertTrue(first.leadership.leading());
-      final long given = lastGiven(first);
+      final long grantEnd = lastGrantEnd(first);
       first.timers.killed = true;
-      lab.time.run(5_000);
-      assertWaitsFor(given, second);
+      simulation.time.run(5_000);
+      assertWaitsFor(grantEnd, second);
     }
 
     /**
@@ -135,11 +138,11 @@
      */
     @Test
     public void lateTakeoversCountFromTheFirstAttempt() {
-      ElectionSimulation lab = new ElectionSimulation();
+      ElectionSimulation simulation = new ElectionSimulation();
       long[] at = {0};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
-            long now = lab.time.process().now().mono();
+            long now = simulation.time.process().now().mono();
             if (!change.writes().containsKey(LEASE)) {
               return FakeTableStore.Fate.GOOD;
             }
@@ -149,16 +152,16 @@
             }
             return now < at[0] + 2_990 ? FakeTableStore.Fate.REFUSED : FakeTableStore.Fate.GOOD;
           };
-      Candidate first = lab.candidate("a", 1);
+      Candidate first = simulation.candidate("a", 1);
       while (!first.leadership.leading()) {
-        lab.time.run(1);
+        simulation.time.run(1);
       }
-      lab.time.run(100);
-      final long given = lastGiven(first);
+      simulation.time.run(100);
+      final long grantEnd = lastGrantEnd(first);
       first.timers.killed = true;
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(5_000);
-      assertWaitsFor(given, second);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(5_000);
+      assertWaitsFor(grantEnd, second);
     }
 
     /**
@@ -167,19 +170,19 @@
      * goes on as it was.
      */
     @Test
-    public void makingWayBeforeItBeganKeepsTheWait() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = lab.candidate(new Instance("a", "dc", LARGE), 1);
-      lab.time.run(1_000);
-      final Candidate small = lab.candidate(new Instance("b", "dc", SMALL), 1);
+    public void yieldingBeforeBeginningKeepsTheWait() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = simulation.candidate(new Instance("a", "dc", LARGE), 1);
+      simulation.time.run(1_000);
+      final Candidate small = simulation.candidate(new Instance("b", "dc", SMALL), 1);
       small.begins = false;
-      lab.time.run(3_000);
+      simulation.time.run(3_000);
       first.timers.killed = true;
       final long death = small.timers.now().mono();
-      lab.time.run(3_100);
+      simulation.time.run(3_100);
       assertTrue(small.leadership.leading());
-      Candidate next = lab.candidate(new Instance("a", "dc", LARGE), 2);
-      lab.time.run(2_000);
+      Candidate next = simulation.candidate(new Instance("a", "dc", LARGE), 2);
+      simulation.time.run(2_000);
       assertCountedFrom(death, next);
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
@@ -37,7 +37,7 @@
   final List<RunKey> starts = new ArrayList<>();
   final List<Long> startMillis = new ArrayList<>();
   final Map<RunKey, Boolean> running = new HashMap<>();
-  String hidden = "nothing";
+  String unansweredCall = "nothing";
 
   /** Tells the instance which data centres are evacuated. */
   Consumer<Set<DataCentreId>> operator;
@@ -60,7 +60,7 @@
   void restart() {
     process.killed = true;
     process = time.process();
-    TableStore seen = store.seenBy(process, call -> !call.equals(hidden));
+    TableStore seen = store.seenBy(process, call -> !call.equals(unansweredCall));
     WatchedStore watched = new WatchedStore(seen, process);
     entry = new JobEntry(TestJobs.INSTANCE, 120_000, watched, process, rules(), this, this);
     entry.start();
@@ -72,8 +72,8 @@
   }
 
   void write(Map<RowKey, Payload> rows) {
-    Transaction change = new Transaction(Map.of(), rows, List.of());
-    store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
+    Transaction transaction = new Transaction(Map.of(), rows, List.of());
+    store.seenBy(process, call -> true).commit(transaction, 1_000, answer -> {});
     time.run(100);
   }
 
@@ -155,9 +155,9 @@
 
   @Override
   public void poll(
-      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
+      JobEffect.LookAtWorker poll, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
     process.after(
-        Math.max(2, look.waitMillis()),
+        Math.max(2, poll.waitMillis()),
         () -> {
           long clock = process.now().mono();
           List<WorkerReport.Running> list =
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
@@ -18,13 +18,13 @@
   public static class Starting {
 
     @Test
-    public void startsWhatIsSubmitted() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.submit("a");
-      lab.time.run(500);
-      assertEquals(lab.starts.size(), 1);
-      lab.time.run(1_000);
-      assertTrue(lab.store.table(JobTables.WAITING).isEmpty());
+    public void startsSubmittedJobs() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.submit("a");
+      simulation.time.run(500);
+      assertEquals(simulation.starts.size(), 1);
+      simulation.time.run(1_000);
+      assertTrue(simulation.store.table(JobTables.WAITING).isEmpty());
     }
 
     /**
@@ -33,16 +33,16 @@
      * and goes on when the news come again.
      */
     @Test
-    public void startsNothingWithoutNewsOfCancellations() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.hidden = "follow " + JobTables.CANCELS;
-      lab.time.run(4_000);
-      lab.submit("a");
-      lab.time.run(2_000);
-      assertEquals(lab.starts.size(), 0);
-      lab.hidden = "nothing";
-      lab.time.run(3_000);
-      assertEquals(lab.starts.size(), 1);
+    public void startsNothingWithoutCancellationUpdates() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.unansweredCall = "follow " + JobTables.CANCELS;
+      simulation.time.run(4_000);
+      simulation.submit("a");
+      simulation.time.run(2_000);
+      assertEquals(simulation.starts.size(), 0);
+      simulation.unansweredCall = "nothing";
+      simulation.time.run(3_000);
+      assertEquals(simulation.starts.size(), 1);
     }
   }
 
@@ -54,43 +54,43 @@
     /** Guards against a first start by a leader that took over after the operator's request. */
     @Test
     public void startsNothingThereAfterTakingOver() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.evacuated = HERE;
-      lab.restart();
-      lab.time.run(10_000);
-      lab.submit("a");
-      lab.time.run(3_000);
-      assertEquals(lab.entry.leadingEpoch(), 2);
-      assertEquals(lab.starts.size(), 0);
-      lab.operator.accept(Set.of());
-      lab.time.run(500);
-      assertEquals(lab.starts.size(), 1);
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.evacuated = HERE;
+      simulation.restart();
+      simulation.time.run(10_000);
+      simulation.submit("a");
+      simulation.time.run(3_000);
+      assertEquals(simulation.entry.leadingEpoch(), 2);
+      assertEquals(simulation.starts.size(), 0);
+      simulation.operator.accept(Set.of());
+      simulation.time.run(500);
+      assertEquals(simulation.starts.size(), 1);
     }
 
     /** Guards against an order that still waits for its connection when the request comes. */
     @Test
     public void sendsNoOrderThatWaitedForItsConnection() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.connectMillis = 200;
-      lab.submit("a");
-      lab.time.run(100);
-      lab.operator.accept(HERE);
-      lab.time.run(3_000);
-      assertEquals(lab.starts.size(), 0);
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.connectMillis = 200;
+      simulation.submit("a");
+      simulation.time.run(100);
+      simulation.operator.accept(HERE);
+      simulation.time.run(3_000);
+      assertEquals(simulation.starts.size(), 0);
     }
 
     /** Guards against starts by a leader that no longer hears the operator. */
     @Test
-    public void startsNothingWithoutNewsOfEvacuations() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.rulesMillis = lab.process.now().mono();
-      lab.time.run(4_000);
-      lab.submit("a");
-      lab.time.run(2_000);
-      assertEquals(lab.starts.size(), 0);
-      lab.rulesMillis = 0;
-      lab.time.run(1_000);
-      assertEquals(lab.starts.size(), 1);
+    public void startsNothingWithoutEvacuationUpdates() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.rulesMillis = simulation.process.now().mono();
+      simulation.time.run(4_000);
+      simulation.submit("a");
+      simulation.time.run(2_000);
+      assertEquals(simulation.starts.size(), 0);
+      simulation.rulesMillis = 0;
+      simulation.time.run(1_000);
+      assertEquals(simulation.starts.size(), 1);
     }
   }
 
@@ -102,19 +102,19 @@
      * started anew, since they may run or be done; and all other jobs go on.
      */
     @Test
-    public void goesOnBesideProgressThatItCannotRead() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.submit("a");
-      lab.time.run(1_000);
-      assertEquals(lab.starts.size(), 1);
-      lab.running.clear();
-      lab.write(JobTables.progress(new JobId("a")), "r\n0 0 zero p 1");
-      lab.restart();
-      lab.time.run(30_000);
-      lab.submit("b");
-      lab.time.run(1_000);
-      assertEquals(lab.starts.get(1).task().job(), new JobId("b"));
-      assertEquals(lab.starts.size(), 2);
+    public void continuesDespiteUnreadableProgress() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.submit("a");
+      simulation.time.run(1_000);
+      assertEquals(simulation.starts.size(), 1);
+      simulation.running.clear();
+      simulation.write(JobTables.progress(new JobId("a")), "r\n0 0 zero p 1");
+      simulation.restart();
+      simulation.time.run(30_000);
+      simulation.submit("b");
+      simulation.time.run(1_000);
+      assertEquals(simulation.starts.get(1).task().job(), new JobId("b"));
+      assertEquals(simulation.starts.size(), 2);
     }
 
     /**
@@ -122,16 +122,16 @@
      * caller waits: its rows must stay for a leader that can read them.
      */
     @Test
-    public void keepsOpenJobsThatItCannotRead() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.submit("a");
-      lab.time.run(1_000);
+    public void keepsUnreadableOpenJobs() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.submit("a");
+      simulation.time.run(1_000);
       RowKey row = JobTables.job(new JobId("a"));
-      lab.write(row, "no job");
-      lab.restart();
-      lab.time.run(300_000);
-      assertTrue(lab.store.table(JobTables.JOBS).containsKey("a"));
-      assertTrue(lab.store.table(JobTables.PROGRESS).containsKey("a"));
+      simulation.write(row, "no job");
+      simulation.restart();
+      simulation.time.run(300_000);
+      assertTrue(simulation.store.table(JobTables.JOBS).containsKey("a"));
+      assertTrue(simulation.store.table(JobTables.PROGRESS).containsKey("a"));
     }
 
     /**
@@ -139,10 +139,10 @@
      * It must not bring the old progress back: the next leader would run finished work again.
      */
     @Test
-    public void lateCopiesOfSavesChangeNothing() {
-      LeaderSimulation lab = new LeaderSimulation();
+    public void lateDuplicateSavesChangeNothing() {
+      LeaderSimulation simulation = new LeaderSimulation();
       boolean[] first = {true};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             boolean progress = change.writes().keySet().stream().anyMatch(JobTables.FENCE::equals);
             if (progress && first[0]) {
@@ -151,22 +151,22 @@
             }
             return FakeTableStore.Fate.GOOD;
           };
-      lab.submit("a");
-      lab.time.run(1_000);
-      lab.submit("b");
-      lab.time.run(500);
-      String before = lab.store.table(JobTables.PROGRESS).toString();
-      assertEquals(lab.starts.size(), 2);
-      lab.time.run(4_000);
-      assertEquals(lab.store.table(JobTables.PROGRESS).toString(), before);
+      simulation.submit("a");
+      simulation.time.run(1_000);
+      simulation.submit("b");
+      simulation.time.run(500);
+      String before = simulation.store.table(JobTables.PROGRESS).toString();
+      assertEquals(simulation.starts.size(), 2);
+      simulation.time.run(4_000);
+      assertEquals(simulation.store.table(JobTables.PROGRESS).toString(), before);
     }
 
     /** The answer to a save is lost though it is done: the leader goes on, and starts once. */
     @Test
-    public void goesOnWhenTheAnswerToSavesIsLost() {
-      LeaderSimulation lab = new LeaderSimulation();
+    public void continuesWhenTheResponseToASaveIsLost() {
+      LeaderSimulation simulation = new LeaderSimulation();
       boolean[] first = {true};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             boolean progress = change.writes().keySet().stream().anyMatch(JobTables.FENCE::equals);
             if (progress && first[0]) {
@@ -175,17 +175,17 @@
             }
             return FakeTableStore.Fate.GOOD;
           };
-      lab.submit("a");
-      lab.time.run(2_000);
-      assertEquals(lab.starts.size(), 1);
-      assertEquals(lab.entry.leadingEpoch(), 1);
+      simulation.submit("a");
+      simulation.time.run(2_000);
+      assertEquals(simulation.starts.size(), 1);
+      assertEquals(simulation.entry.leadingEpoch(), 1);
     }
   }
 
   /** Larger instances that ask for the lead. */
-  public static class MakingWay {
+  public static class YieldingLeadership {
 
-    private static final class Asking implements Leadership.Listener {
+    private static final class LargerCandidate implements Leadership.Listener {
       final List<Long> won = new ArrayList<>();
 
       @Override
@@ -207,16 +207,16 @@
      * at once: to read on would take a small one seconds, in which nothing starts.
      */
     @Test
-    public void makesWayWhileTakingOver() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.hidden = "scan " + JobTables.PROGRESS;
-      lab.restart();
-      Asking large = new Asking();
-      VirtualTimers.View process = lab.time.process();
+    public void yieldsLeadershipWhileTakingOver() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.unansweredCall = "scan " + JobTables.PROGRESS;
+      simulation.restart();
+      LargerCandidate large = new LargerCandidate();
+      VirtualTimers.View process = simulation.time.process();
       Instance instance = new Instance("large", "dc", new Capacity(4_000, 400_000));
-      TableStore store = lab.store.seenBy(process, call -> true);
+      TableStore store = simulation.store.seenBy(process, call -> true);
       new Leadership(store, process, instance, "large/1", large).start();
-      lab.time.run(1_500);
+      simulation.time.run(1_500);
       assertEquals(large.won, List.of(3L));
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
@@ -20,8 +20,8 @@
   public static class Sizes {
 
     private static Candidate with(
-        ElectionSimulation lab, String name, String dataCentre, Capacity capacity) {
-      return lab.candidate(new Instance(name, dataCentre, capacity), 1);
+        ElectionSimulation simulation, String name, String dataCentre, Capacity capacity) {
+      return simulation.candidate(new Instance(name, dataCentre, capacity), 1);
     }
 
     /**
@@ -32,14 +32,14 @@
     @Test
     public void largerInstancesLeadNext() {
       for (int round = 0; round < 20; round++) {
-        ElectionSimulation lab = new ElectionSimulation();
-        final Candidate first = with(lab, "a", "dc", LARGE);
-        lab.time.run(1_000);
-        with(lab, "b", "dc", SMALL);
-        final Candidate large = with(lab, "c", "dc", LARGE);
-        lab.time.run(3_000);
+        ElectionSimulation simulation = new ElectionSimulation();
+        final Candidate first = with(simulation, "a", "dc", LARGE);
+        simulation.time.run(1_000);
+        with(simulation, "b", "dc", SMALL);
+        final Candidate large = with(simulation, "c", "dc", LARGE);
+        simulation.time.run(3_000);
         first.timers.killed = true;
-        lab.time.run(3_500);
+        simulation.time.run(3_500);
         assertTrue(large.leadership.leading());
         assertEquals(large.events, List.of("won 2"));
       }
@@ -50,14 +50,14 @@
      * the small one cannot carry would wait until its term ends some day.
      */
     @Test
-    public void smallLeadersMakeWayForLargerInstances() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate small = with(lab, "a", "dc", SMALL);
-      lab.time.run(1_000);
-      Candidate large = with(lab, "b", "dc", LARGE);
-      lab.time.run(2_000);
+    public void smallLeadersYieldToLargerInstances() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate small = with(simulation, "a", "dc", SMALL);
+      simulation.time.run(1_000);
+      Candidate large = with(simulation, "b", "dc", LARGE);
+      simulation.time.run(2_000);
       assertTrue(large.leadership.leading());
-      lab.time.run(40_000);
+      simulation.time.run(40_000);
       assertEquals(small.events, List.of("won 1", "lost"));
       assertEquals(large.events, List.of("won 2"));
     }
@@ -67,27 +67,27 @@
      * head start alone; were it to wait for larger ones, nobody would lead.
      */
     @Test
-    public void smallInstancesLeadWhenNoLargerOneLives() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = with(lab, "a", "dc", LARGE);
-      lab.time.run(1_000);
-      final Candidate small = with(lab, "b", "dc", SMALL);
-      lab.time.run(3_000);
+    public void smallInstancesLeadWhenNoLargerOneRuns() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = with(simulation, "a", "dc", LARGE);
+      simulation.time.run(1_000);
+      final Candidate small = with(simulation, "b", "dc", SMALL);
+      simulation.time.run(3_000);
       first.timers.killed = true;
-      lab.time.run(3_200);
+      simulation.time.run(3_200);
       assertTrue(small.leadership.leading());
     }
 
     /** Of equal instances none asks for the lead: the rows stay as the election wrote them. */
     @Test
-    public void equalInstancesLeaveTheLeaderAlone() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = with(lab, "a", "dc", SMALL);
-      lab.time.run(1_000);
-      with(lab, "b", "dc", SMALL);
-      lab.time.run(40_000);
+    public void equalInstancesRequestNothing() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = with(simulation, "a", "dc", SMALL);
+      simulation.time.run(1_000);
+      with(simulation, "b", "dc", SMALL);
+      simulation.time.run(40_000);
       assertEquals(first.events, List.of("won 1"));
-      assertFalse(lab.store.table(JobTables.LEADER).containsKey("request"));
+      assertFalse(simulation.store.table(JobTables.LEADER).containsKey("request"));
     }
 
     /**
@@ -95,16 +95,16 @@
      * might reach the store and few workers. It gets the lead once the cut has healed.
      */
     @Test
-    public void keepsTheLeadFromInstancesThatMayBeCutOff() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate small = with(lab, "a", "open", SMALL);
-      lab.time.run(1_000);
-      small.hidden = "cut";
-      final Candidate large = with(lab, "b", "cut", LARGE);
-      lab.time.run(5_000);
+    public void keepsLeadershipFromInstancesThatMayBeCutOff() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate small = with(simulation, "a", "open", SMALL);
+      simulation.time.run(1_000);
+      small.unreachableDataCentre = "cut";
+      final Candidate large = with(simulation, "b", "cut", LARGE);
+      simulation.time.run(5_000);
       assertEquals(small.events, List.of("won 1"));
-      small.hidden = "nowhere";
-      lab.time.run(1_500);
+      small.unreachableDataCentre = "nowhere";
+      simulation.time.run(1_500);
       assertTrue(large.leadership.leading());
     }
 
@@ -113,17 +113,17 @@
      * Were the lead asked back at once, it would come and go for as long as the cut lasts.
      */
     @Test
-    public void doesNotAskSoonAfterLeadersWereCutOff() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate large = with(lab, "a", "cut", LARGE);
-      lab.time.run(1_000);
-      final Candidate small = with(lab, "b", "open", SMALL);
-      lab.time.run(1_000);
+    public void requestsNothingSoonAfterLeadersWereCutOff() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate large = with(simulation, "a", "cut", LARGE);
+      simulation.time.run(1_000);
+      final Candidate small = with(simulation, "b", "open", SMALL);
+      simulation.time.run(1_000);
       large.leadership.handOver("cut off");
-      with(lab, "c", "cut", LARGE);
-      lab.time.run(25_000);
+      with(simulation, "c", "cut", LARGE);
+      simulation.time.run(25_000);
       assertEquals(small.events, List.of("won 2"));
-      lab.time.run(10_000);
+      simulation.time.run(10_000);
       assertEquals(small.events, List.of("won 2", "lost"));
     }
 
@@ -132,16 +132,16 @@
      * one leads soon, the old leader if need be.
      */
     @Test
-    public void leadsAgainWhenTheInstanceThatAskedHasDied() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate small = with(lab, "a", "dc", SMALL);
-      lab.time.run(1_000);
-      small.hidden = "dc";
-      Candidate large = with(lab, "b", "dc", LARGE);
-      lab.time.run(1_000);
+    public void leadsAgainWhenTheRequestingInstanceHasDied() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate small = with(simulation, "a", "dc", SMALL);
+      simulation.time.run(1_000);
+      small.unreachableDataCentre = "dc";
+      Candidate large = with(simulation, "b", "dc", LARGE);
+      simulation.time.run(1_000);
       large.timers.killed = true;
-      small.hidden = "nowhere";
-      lab.time.run(2_000);
+      small.unreachableDataCentre = "nowhere";
+      simulation.time.run(2_000);
       assertEquals(small.events, List.of("won 1", "lost", "won 2"));
     }
 
@@ -150,17 +150,17 @@
      * leave the next term to large ones; one of them would only be asked again.
      */
     @Test
-    public void standsBackForInstancesThatAskedInVain() {
+    public void standsBackForInstancesWithUnansweredRequests() {
       for (int round = 0; round < 20; round++) {
-        ElectionSimulation lab = new ElectionSimulation();
-        final Candidate first = with(lab, "a", "dc", SMALL);
-        lab.time.run(1_000);
-        first.hidden = "dc";
-        final Candidate large = with(lab, "b", "dc", LARGE);
-        with(lab, "c", "dc", SMALL);
-        lab.time.run(3_000);
+        ElectionSimulation simulation = new ElectionSimulation();
+        final Candidate first = with(simulation, "a", "dc", SMALL);
+        simulation.time.run(1_000);
+        first.unreachableDataCentre = "dc";
+        final Candidate large = with(simulation, "b", "dc", LARGE);
+        with(simulation, "c", "dc", SMALL);
+        simulation.time.run(3_000);
         first.timers.killed = true;
-        lab.time.run(3_500);
+        simulation.time.run(3_500);
         assertEquals(large.events, List.of("won 2"));
       }
     }
@@ -170,16 +170,16 @@
      * It is asked anew: the request on file was for the term before.
      */
     @Test
-    public void asksAgainInTheNextTerm() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate small = with(lab, "a", "dc", SMALL);
-      lab.time.run(1_000);
-      small.hidden = "dc";
-      final Candidate large = with(lab, "b", "dc", LARGE);
-      lab.time.run(2_000);
+    public void requestsAgainInTheNextTerm() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate small = with(simulation, "a", "dc", SMALL);
+      simulation.time.run(1_000);
+      small.unreachableDataCentre = "dc";
+      final Candidate large = with(simulation, "b", "dc", LARGE);
+      simulation.time.run(2_000);
       small.timers.killed = true;
-      Candidate next = lab.candidate(new Instance("a", "dc", SMALL), 2);
-      lab.time.run(2_500);
+      Candidate next = simulation.candidate(new Instance("a", "dc", SMALL), 2);
+      simulation.time.run(2_500);
       assertEquals(next.events, List.of("won 2", "lost"));
       assertEquals(large.events, List.of("won 3"));
     }
@@ -189,22 +189,22 @@
      * an instance leads when the leader dies; were it to end, nobody would ever lead again.
      */
     @Test
-    public void watchesOnBesideRowsThatCannotBeRead() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = with(lab, "a", "dc", SMALL);
-      lab.time.run(1_000);
-      final Candidate next = with(lab, "b", "dc", LARGE);
+    public void keepsWatchingDespiteUnreadableRows() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = with(simulation, "a", "dc", SMALL);
+      simulation.time.run(1_000);
+      final Candidate next = with(simulation, "b", "dc", LARGE);
       Map<RowKey, Payload> odd =
           Map.of(
               LeadershipHandover.REQUEST,
               Payload.of("x 1 2 dc"),
               LeadershipHandover.CAPACITY,
               Payload.of("x 1"));
-      TableStore other = lab.store.seenBy(lab.time.process(), call -> true);
+      TableStore other = simulation.store.seenBy(simulation.time.process(), call -> true);
       other.commit(new Transaction(Map.of(), odd, List.of()), 1_000, answer -> {});
-      lab.time.run(3_000);
+      simulation.time.run(3_000);
       first.timers.killed = true;
-      lab.time.run(3_500);
+      simulation.time.run(3_500);
       assertEquals(next.events, List.of("won 2"));
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
@@ -19,10 +19,13 @@
 
     @Test
     public void exactlyOneOfManyLeads() {
-      ElectionSimulation lab = new ElectionSimulation();
+      ElectionSimulation simulation = new ElectionSimulation();
       List<Candidate> all =
-          List.of(lab.candidate("a", 1), lab.candidate("b", 1), lab.candidate("c", 1));
-      lab.time.run(10_000);
+          List.of(
+              simulation.candidate("a", 1),
+              simulation.candidate("b", 1),
+              simulation.candidate("c", 1));
+      simulation.time.run(10_000);
       assertEquals(all.stream().filter(c -> c.leadership.leading()).count(), 1);
       assertEquals(all.stream().mapToInt(c -> c.events.size()).sum(), 1);
     }
@@ -31,18 +34,18 @@
      * The takeover is in the store, its answer lost. The winner looks, finds its name, and leads.
      */
     @Test
-    public void leadsThoughTheAnswerWasLost() {
-      ElectionSimulation lab = new ElectionSimulation();
+    public void leadsWhenTheResponseWasLost() {
+      ElectionSimulation simulation = new ElectionSimulation();
       boolean[] first = {true};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             FakeTableStore.Fate fate =
                 first[0] ? FakeTableStore.Fate.ANSWER_LOST : FakeTableStore.Fate.GOOD;
             first[0] = false;
             return fate;
           };
-      Candidate only = lab.candidate("a", 1);
-      lab.time.run(4_000);
+      Candidate only = simulation.candidate("a", 1);
+      simulation.time.run(4_000);
       assertTrue(only.leadership.leading());
       assertEquals(only.events, List.of("won 1"));
     }
@@ -57,15 +60,15 @@
      * alone it would lose the lease, and the next leader would have the same rush.
      */
     @Test
-    public void renewsBetweenPiecesOfWork() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(1_000);
+    public void renewsBetweenTasksOfTheEventLoop() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(1_000);
       first.timers.lateMillis = 2_000;
       for (int i = 0; i < 20; i++) {
-        lab.time.run(900);
+        simulation.time.run(900);
         first.leadership.renewIfDue();
       }
       assertEquals(first.events, List.of("won 1"));
@@ -75,16 +78,16 @@
     /** What asks often for a renewal causes no more of them than the timer does. */
     @Test
     public void renewsNoMoreOftenThanDue() {
-      ElectionSimulation lab = new ElectionSimulation();
+      ElectionSimulation simulation = new ElectionSimulation();
       int[] commits = {0};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             commits[0]++;
             return FakeTableStore.Fate.GOOD;
           };
-      Candidate only = lab.candidate("a", 1);
+      Candidate only = simulation.candidate("a", 1);
       for (int i = 0; i < 1_000; i++) {
-        lab.time.run(10);
+        simulation.time.run(10);
         only.leadership.renewIfDue();
       }
       assertTrue(commits[0] <= 21, "commits in 10 s: " + commits[0]);
@@ -98,7 +101,7 @@
      * Longest time from a leader's loss to the next election, in milliseconds: of the 3,000 ms
      * after which a cancelled job's runs are stopped, 700 ms are left to read the state.
      */
-    private static final long LONGEST_ELECTION_MILLIS = 2_300;
+    private static final long MAX_ELECTION_MILLIS = 2_300;
 
     /**
      * The leader is killed. Another instance leads soon, but not before the lease has ended: until
@@ -106,29 +109,29 @@
      */
     @Test
     public void waitsForTheLeaseOfAnotherInstance() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(3_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(3_000);
       first.timers.killed = true;
-      lab.time.run(LeaderLease.LEASE_MILLIS - 600);
+      simulation.time.run(LeaderLease.LEASE_MILLIS - 600);
       assertFalse(second.leadership.leading());
-      lab.time.run(2_000);
+      simulation.time.run(2_000);
       assertTrue(second.leadership.leading());
       assertEquals(second.events, List.of("won 2"));
     }
 
     /** Work of jobs that were cancelled as the leader was lost went on for longer than 3.2 s. */
     @Test(dataProvider = "moments")
-    public void isOverSoonAfterTheLoss(long killedMillis) {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(killedMillis);
+    public void electsSoonAfterTheLoss(long killedMillis) {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(killedMillis);
       first.timers.killed = true;
-      lab.time.run(LONGEST_ELECTION_MILLIS);
+      simulation.time.run(MAX_ELECTION_MILLIS);
       assertTrue(second.leadership.leading());
     }
 
@@ -142,13 +145,13 @@
 
     /** All instances lose power and come back; the last leader's next life leads at once. */
     @Test
-    public void doesNotWaitForItsOwnLastLife() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
+    public void doesNotWaitForItsOwnPreviousIncarnation() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
       first.timers.killed = true;
-      Candidate next = lab.candidate("a", 2);
-      lab.time.run(300);
+      Candidate next = simulation.candidate("a", 2);
+      simulation.time.run(300);
       assertTrue(next.leadership.leading());
     }
 
@@ -158,19 +161,19 @@
      */
     @Test
     public void leadersWithoutTheStoreStopInTime() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(1_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(1_000);
       first.reachesStore = false;
       for (int i = 0; i < 600; i++) {
-        lab.time.run(10);
+        simulation.time.run(10);
         assertFalse(first.leadership.mayStart() && second.leadership.mayStart());
       }
       assertTrue(second.leadership.leading());
       first.reachesStore = true;
-      lab.time.run(3_000);
+      simulation.time.run(3_000);
       assertEquals(first.events, List.of("won 1", "lost"));
     }
 
@@ -180,17 +183,17 @@
      */
     @Test
     public void handsOverToAnotherDataCentre() {
-      ElectionSimulation lab = new ElectionSimulation();
-      final Candidate first = lab.candidate("a", 1, "cut");
-      lab.time.run(1_000);
-      final Candidate near = lab.candidate("b", 1, "cut");
-      lab.time.run(1_000);
-      final Candidate far = lab.candidate("c", 1, "open");
-      lab.time.run(1_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      final Candidate first = simulation.candidate("a", 1, "cut");
+      simulation.time.run(1_000);
+      final Candidate near = simulation.candidate("b", 1, "cut");
+      simulation.time.run(1_000);
+      final Candidate far = simulation.candidate("c", 1, "open");
+      simulation.time.run(1_000);
       first.leadership.handOver("cut off");
-      lab.time.run(400);
+      simulation.time.run(400);
       assertTrue(far.leadership.leading());
-      lab.time.run(4_000);
+      simulation.time.run(4_000);
       assertEquals(near.events, List.of());
       assertEquals(first.events, List.of("won 1", "lost"));
     }
@@ -201,14 +204,14 @@
      */
     @Test
     public void doesNotHandOverAgainSoon() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate only = lab.candidate("a", 1, "cut");
-      lab.time.run(1_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate only = simulation.candidate("a", 1, "cut");
+      simulation.time.run(1_000);
       only.leadership.handOver("cut off");
-      lab.time.run(5_000);
+      simulation.time.run(5_000);
       only.leadership.handOver("cut off");
       assertTrue(only.leadership.leading());
-      lab.time.run(30_000);
+      simulation.time.run(30_000);
       only.leadership.handOver("cut off");
       assertFalse(only.leadership.leading());
     }
@@ -216,11 +219,11 @@
     /** No other data centre has an instance: the old leader leads again soon. */
     @Test
     public void leadsAgainWhenNobodyElseDoes() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate only = lab.candidate("a", 1, "cut");
-      lab.time.run(1_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate only = simulation.candidate("a", 1, "cut");
+      simulation.time.run(1_000);
       only.leadership.handOver("cut off");
-      lab.time.run(3_000);
+      simulation.time.run(3_000);
       assertTrue(only.leadership.leading());
     }
 
@@ -230,25 +233,25 @@
      */
     @Test
     public void holdsTheLeaseWhateverItsName() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("freeport-1", 1);
-      lab.time.run(1_000);
-      Candidate second = lab.candidate("b", 1);
-      lab.time.run(5_000);
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("freeport-1", 1);
+      simulation.time.run(1_000);
+      Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(5_000);
       assertTrue(first.leadership.leading());
       assertEquals(second.events, List.of());
     }
 
     /** The leader is told to stop and gives its lease back; the next one need not wait for it. */
     @Test
-    public void followsAtOnceWhenTheLeaderLeaves() {
-      ElectionSimulation lab = new ElectionSimulation();
-      Candidate first = lab.candidate("a", 1);
-      lab.time.run(1_000);
-      final Candidate second = lab.candidate("b", 1);
-      lab.time.run(1_000);
+    public void takesOverAtOnceWhenTheLeaderLeaves() {
+      ElectionSimulation simulation = new ElectionSimulation();
+      Candidate first = simulation.candidate("a", 1);
+      simulation.time.run(1_000);
+      final Candidate second = simulation.candidate("b", 1);
+      simulation.time.run(1_000);
       first.leadership.leave(() -> first.events.add("left"));
-      lab.time.run(300);
+      simulation.time.run(300);
       assertEquals(first.events, List.of("won 1", "left"));
       assertTrue(second.leadership.leading());
     }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
@@ -28,7 +28,7 @@
   public static class Inheriting {
 
     @Test
-    public void owesNothingWithoutAnEarlierLeader() {
+    public void inheritsNothingWithoutAnEarlierLeader() {
       LeaseRow row = new LeaseRow("self/1");
       row.inherit(Optional.empty(), 5_000);
       assertEquals(row.inheritedLeaseEndMillis(), 0);
@@ -53,26 +53,26 @@
   }
 
   /** The time that a renewal says. */
-  public static class Stating {
+  public static class StatingTime {
 
-    private static LeaseRow told() {
+    private static LeaseRow rowWithClock() {
       LeaseRow row = new LeaseRow("self/1");
-      row.told(at(1_000), at(1_010), 90_000);
+      row.updateClock(at(1_000), at(1_010), 90_000);
       return row;
     }
 
     @Test
-    public void saysTheStoresTimeWhereItMay() {
-      assertTrue(read(told().held(1, at(1_100), true)).sentMillis() >= 90_000);
+    public void statesTheStoreTimeWhenAllowed() {
+      assertTrue(read(rowWithClock().held(1, at(1_100), true)).sentMillis() >= 90_000);
     }
 
     @Test
-    public void saysNoneWhereItMayNot() {
-      assertEquals(read(told().held(1, at(1_100), false)).sentMillis(), 0);
+    public void statesNoTimeWhenNotAllowed() {
+      assertEquals(read(rowWithClock().held(1, at(1_100), false)).sentMillis(), 0);
     }
 
     @Test
-    public void saysNoneBeforeTheStoreDid() {
+    public void statesNoTimeBeforeTheStoreDid() {
       assertEquals(read(new LeaseRow("self/1").held(1, at(1_100), true)).sentMillis(), 0);
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseTextTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseTextTest.java
@@ -14,14 +14,14 @@
   public static class Own {
 
     @Test
-    public void readsWhatItsHolderWrote() {
+    public void readsHeldLeases() {
       LeaseText read = LeaseText.parse(LeaseText.held("a/1", 3, 8_500, OptionalLong.of(77)));
       assertEquals(read, new LeaseText("a/1", "", 8_500, 77));
       assertFalse(read.isFree());
     }
 
     @Test
-    public void readsWhoGaveItBack() {
+    public void readsReleasedLeases() {
       LeaseText cut = LeaseText.parse(LeaseText.free("sofia-1", 8_500, OptionalLong.of(77)));
       assertEquals(cut, new LeaseText("", "sofia-1", 8_500, 77));
       assertTrue(cut.isFree());
@@ -34,8 +34,8 @@
   public static class Foreign {
 
     @Test
-    public void waitsLongestWhereNothingIsSaid() {
-      long longest = LeaseText.UNSTATED_GRANT_MILLIS;
+    public void assumesTheLongestGrantWhenNoneIsStated() {
+      long longest = LeaseText.DEFAULT_GRANT_MILLIS;
       assertEquals(LeaseText.parse("a/1 3"), new LeaseText("a/1", "", longest, 0));
       assertEquals(LeaseText.parse("free"), new LeaseText("", "", longest, 0));
       assertEquals(LeaseText.parse("free dc"), new LeaseText("", "dc", longest, 0));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void takesNoNameForFreeThatBeginsLikeIt() {
+    public void acceptsHolderNamesThatBeginWithFree() {
       assertEquals(LeaseText.parse("freeport-1/7 2 8500").holder(), "freeport-1/7");
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
@@ -24,25 +24,25 @@
           FreshnessLimit.WORKERS,
           2_000L);
 
-  private static final class Lab {
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final VirtualTimers.View process = time.process();
-    final Map<FreshnessLimit, Moment> asked = new EnumMap<>(FreshnessLimit.class);
+    final Map<FreshnessLimit, Moment> requestTimes = new EnumMap<>(FreshnessLimit.class);
     final StartGate gate;
 
-    Lab() {
+    Simulation() {
       Map<FreshnessLimit, Supplier<Moment>> sources = new EnumMap<>(FreshnessLimit.class);
-      for (FreshnessLimit news : FreshnessLimit.values()) {
-        asked.put(news, process.now());
-        sources.put(news, () -> asked.get(news));
+      for (FreshnessLimit limit : FreshnessLimit.values()) {
+        requestTimes.put(limit, process.now());
+        sources.put(limit, () -> requestTimes.get(limit));
       }
       gate = new StartGate(process, sources);
     }
 
     /** Lets time pass in which all other news is told. */
-    void age(FreshnessLimit old, long millis) {
+    void age(FreshnessLimit stale, long millis) {
       time.run(millis);
-      asked.replaceAll((news, moment) -> news == old ? moment : process.now());
+      requestTimes.replaceAll((limit, moment) -> limit == stale ? moment : process.now());
     }
   }
 
@@ -59,25 +59,28 @@
 
     /** Guards against a start that leaves though one kind of news is as old as its bound. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
-    public void closesBeforeTheBound(FreshnessLimit news) {
-      Lab lab = new Lab();
-      lab.age(news, 500);
-      assertTrue(lab.gate.open());
-      assertTrue(lab.gate.closesMillis() - lab.asked.get(news).mono() < BOUNDS.get(news));
-      lab.age(news, BOUNDS.get(news) - 700);
-      assertFalse(lab.gate.open() && lab.gate.ageMillis(news) + 200 > BOUNDS.get(news));
-      lab.age(news, 200);
-      assertFalse(lab.gate.open());
+    public void closesBeforeTheBound(FreshnessLimit limit) {
+      Simulation simulation = new Simulation();
+      simulation.age(limit, 500);
+      assertTrue(simulation.gate.open());
+      assertTrue(
+          simulation.gate.startDeadlineMillis() - simulation.requestTimes.get(limit).mono()
+              < BOUNDS.get(limit));
+      simulation.age(limit, BOUNDS.get(limit) - 700);
+      assertFalse(
+          simulation.gate.open() && simulation.gate.ageMillis(limit) + 200 > BOUNDS.get(limit));
+      simulation.age(limit, 200);
+      assertFalse(simulation.gate.open());
     }
 
     /** Guards against news that counts as new after the process was suspended. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
-    public void countsTimeAsleep(FreshnessLimit news) {
-      Lab lab = new Lab();
-      Moment now = lab.process.now();
-      lab.asked.put(news, new Moment(now.mono(), now.wall() - BOUNDS.get(news)));
-      assertFalse(lab.gate.open());
-      assertEquals(lab.gate.ageMillis(news), (long) BOUNDS.get(news));
+    public void countsSuspendedTime(FreshnessLimit limit) {
+      Simulation simulation = new Simulation();
+      Moment now = simulation.process.now();
+      simulation.requestTimes.put(limit, new Moment(now.mono(), now.wall() - BOUNDS.get(limit)));
+      assertFalse(simulation.gate.open());
+      assertEquals(simulation.gate.ageMillis(limit), (long) BOUNDS.get(limit));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
@@ -39,7 +39,7 @@
 
   private static final int TASKS = 400;
   private static final long WORK_MILLIS = 100;
-  private static final long LOOK_MILLIS = 50;
+  private static final long POLL_MILLIS = 50;
   private static final long ORDER_MILLIS = 900;
   private static final long NEVER_MILLIS = 1_000_000;
 
@@ -51,7 +51,7 @@
   long connectMillis;
 
   /** How long an order about a run is on its way, in milliseconds. */
-  long wayMillis = 1;
+  long orderDelayMillis = 1;
 
   /** Whether no order to stop arrives. */
   boolean losesStops;
@@ -60,7 +60,7 @@
   final List<Long> starts = new ArrayList<>();
 
   /** How many orders to start did not leave. */
-  int heldBack;
+  int notSent;
 
   /** How many orders to start came after the end of their lease. */
   int late;
@@ -68,9 +68,9 @@
   private final VirtualTimers.View others = time.process();
   private final Map<RowKey, Long> written = new HashMap<>();
   private final Map<RunKey, Long> running = new HashMap<>();
-  private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final List<WorkerReport.Completion> ended = new ArrayList<>();
-  private long ends;
+  private final Map<TaskName, Integer> lastRunNumbers = new HashMap<>();
+  private final List<WorkerReport.Completion> completions = new ArrayList<>();
+  private long completionCount;
   private long leaseEndMillis;
   private boolean draining;
   JobEntry entry;
@@ -110,13 +110,13 @@
   }
 
   /** Sets the instance's time of day forward after a time, or back. */
-  void leapAfter(long millis, long leapMillis) {
-    others.after(millis, () -> process.leapMillis = leapMillis);
+  void jumpClockAfter(long millis, long jumpMillis) {
+    others.after(millis, () -> process.clockOffsetMillis = jumpMillis);
   }
 
   /** Has orders about runs that leave from a time on stay on their way for so long. */
-  void holdOrdersAfter(long millis, long heldMillis) {
-    others.after(millis, () -> wayMillis = heldMillis);
+  void delayOrdersAfter(long millis, long delayMillis) {
+    others.after(millis, () -> orderDelayMillis = delayMillis);
   }
 
   /** Returns how long after a row was in the store the last run began; 0 if none did. */
@@ -127,42 +127,42 @@
   private RuleSource rules() {
     TableStore seen = store.seenBy(process, call -> true);
     return new RuleSource() {
-      private TableWatcher follower;
+      private TableWatcher watcher;
 
       @Override
       public void start(Consumer<JobTable> tables, Consumer<Set<DataCentreId>> evacuations) {
         tables.accept(new JobTable(1, List.of(TestJobs.QUEUE), List.of()));
-        Consumer<Row> told = row -> evacuations.accept(Set.of(new DataCentreId("dc")));
-        follower = new TableWatcher(seen, process, "op", List.of(""), told, () -> {});
-        follower.start();
+        Consumer<Row> onRow = row -> evacuations.accept(Set.of(new DataCentreId("dc")));
+        watcher = new TableWatcher(seen, process, "op", List.of(""), onRow, () -> {});
+        watcher.start();
       }
 
       @Override
       public long lastContactMillis() {
-        return follower.lastContactMillis();
+        return watcher.lastContactMillis();
       }
 
       @Override
       public Moment lastRequestSent() {
-        return follower.lastRequestSent();
+        return watcher.lastRequestSent();
       }
 
       @Override
       public void refreshAfterClockJump() {
-        follower.refreshAfterClockJump();
+        watcher.refreshAfterClockJump();
       }
     };
   }
 
   @Override
   public TableWatcher watcher(Consumer<JobEvent> listener, Runnable onCurrent) {
-    Consumer<Row> told =
+    Consumer<Row> onRow =
         row -> {
           draining = true;
           replay(listener);
         };
     TableStore seen = store.seenBy(process, call -> true);
-    return new TableWatcher(seen, process, "workers", List.of(""), told, onCurrent);
+    return new TableWatcher(seen, process, "workers", List.of(""), onRow, onCurrent);
   }
 
   @Override
@@ -188,13 +188,13 @@
   private void connected(
       JobEffect.StartRun start, BooleanSupplier allowed, Consumer<StartResult> done) {
     if (!allowed.getAsBoolean()) {
-      heldBack++;
+      notSent++;
       done.accept(StartResult.NOT_SENT);
       return;
     }
-    boolean answers = wayMillis < ORDER_MILLIS;
+    boolean answers = orderDelayMillis < ORDER_MILLIS;
     others.after(
-        wayMillis,
+        orderDelayMillis,
         () -> {
           StartResult result = begin(start);
           if (answers) {
@@ -212,7 +212,7 @@
     if (running.containsKey(run)) {
       return StartResult.STARTED;
     }
-    if (run.run() <= barred.getOrDefault(run.task(), 0)) {
+    if (run.run() <= lastRunNumbers.getOrDefault(run.task(), 0)) {
       return StartResult.OLD;
     }
     if (start.deadlineMillis() <= now) {
@@ -226,30 +226,32 @@
     return StartResult.STARTED;
   }
 
-  private void end(RunKey run, WorkerReport.CompletionStatus how) {
-    barred.merge(run.task(), run.run(), Math::max);
+  private void end(RunKey run, WorkerReport.CompletionStatus status) {
+    lastRunNumbers.merge(run.task(), run.run(), Math::max);
     if (running.remove(run) != null) {
-      ends++;
-      boolean lapsed = others.now().mono() > leaseEndMillis;
-      WorkerReport.CompletionStatus told = lapsed ? WorkerReport.CompletionStatus.LAPSED : how;
-      ended.add(new WorkerReport.Completion(ends, run.task(), run.run(), told, ""));
+      completionCount++;
+      boolean expired = others.now().mono() > leaseEndMillis;
+      WorkerReport.CompletionStatus reported =
+          expired ? WorkerReport.CompletionStatus.LAPSED : status;
+      completions.add(
+          new WorkerReport.Completion(completionCount, run.task(), run.run(), reported, ""));
     }
   }
 
   /** Returns how many runs ended since no lease was in force. */
-  long lapsed() {
-    return ended.stream()
-        .filter(end -> end.status() == WorkerReport.CompletionStatus.LAPSED)
+  long expired() {
+    return completions.stream()
+        .filter(completion -> completion.status() == WorkerReport.CompletionStatus.LAPSED)
         .count();
   }
 
   @Override
   public void stop(JobEffect.StopRun stop, long epoch, Consumer<Boolean> done) {
-    boolean answers = wayMillis < ORDER_MILLIS && !losesStops;
+    boolean answers = orderDelayMillis < ORDER_MILLIS && !losesStops;
     others.after(
-        losesStops ? NEVER_MILLIS : wayMillis,
+        losesStops ? NEVER_MILLIS : orderDelayMillis,
         () -> end(stop.run(), WorkerReport.CompletionStatus.STOPPED));
-    process.after(answers ? wayMillis + 1 : ORDER_MILLIS, () -> done.accept(answers));
+    process.after(answers ? orderDelayMillis + 1 : ORDER_MILLIS, () -> done.accept(answers));
   }
 
   @Override
@@ -259,26 +261,28 @@
 
   @Override
   public void poll(
-      JobEffect.LookAtWorker look, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
-    leaseEndMillis = Math.max(leaseEndMillis, look.leaseEndMillis());
+      JobEffect.LookAtWorker poll, long epoch, BooleanSupplier allowed, Consumer<PollResult> done) {
+    leaseEndMillis = Math.max(leaseEndMillis, poll.leaseEndMillis());
     others.after(
-        Math.max(2, Math.min(look.waitMillis(), LOOK_MILLIS)),
+        Math.max(2, Math.min(poll.waitMillis(), POLL_MILLIS)),
         () -> {
           List<WorkerReport.Running> list =
               running.keySet().stream()
                   .map(run -> new WorkerReport.Running(run.task(), run.run(), "", 50, 0))
                   .toList();
-          List<WorkerReport.Completion> news =
-              ended.stream().filter(end -> end.number() > look.acknowledged()).toList();
+          List<WorkerReport.Completion> newCompletions =
+              completions.stream()
+                  .filter(completion -> completion.number() > poll.acknowledged())
+                  .toList();
           long clock = others.now().mono();
           WorkerReport report =
-              new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, clock, list, news);
+              new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, clock, list, newCompletions);
           process.after(0, () -> done.accept(new PollResult(PollResult.Outcome.ANSWERED, report)));
         });
   }
 
   /** Writes cancellations of jobs that nobody knows, one each so many milliseconds. */
-  void writeOthers(long eachMillis, long forMillis) {
+  void writeOtherCancellations(long eachMillis, long forMillis) {
     IntStream.range(0, (int) (forMillis / eachMillis))
         .forEach(i -> writeAfter(i * eachMillis, JobTables.cancel(new JobId("other" + i))));
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
@@ -20,17 +20,17 @@
      * The clock showed 5,000 between question and answer, so at the answer between 5,000 and 5,040.
      */
     @Test
-    public void anAnswerTellsTheTimeWithinItsTrip() {
+    public void boundsTheTimeByTheRoundTrip() {
       StoreClock clock = new StoreClock();
-      clock.told(at(1_000), at(1_040), 5_000);
+      clock.update(at(1_000), at(1_040), 5_000);
       assertEquals(clock.latest(at(1_040)), OptionalLong.of(5_040));
       assertEquals(clock.reached(5_000), OptionalLong.of(1_040));
     }
 
     @Test
-    public void nothingIsKnownBeforeAnAnswer() {
+    public void knowsNothingBeforeAResponse() {
       StoreClock clock = new StoreClock();
-      clock.told(at(1_000), at(1_040), 0);
+      clock.update(at(1_000), at(1_040), 0);
       assertEquals(clock.latest(at(1_040)), OptionalLong.empty());
       assertEquals(clock.reached(5_000), OptionalLong.empty());
     }
@@ -41,9 +41,9 @@
      * wait for all leases.
      */
     @Test
-    public void timeAsleepCounts() {
+    public void countsSuspendedTime() {
       StoreClock clock = new StoreClock();
-      clock.told(at(1_000), at(1_040), 5_000);
+      clock.update(at(1_000), at(1_040), 5_000);
       assertEquals(clock.latest(new Moment(1_100, 99_100)), OptionalLong.of(13_100));
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
@@ -32,22 +32,23 @@
   }
 
   /** A store whose answers the test gives one by one. */
-  private static final class Script implements TableStore {
+  private static final class ScriptedStore implements TableStore {
     final VirtualTimers time = new VirtualTimers();
     final VirtualTimers.View process = time.process();
-    final List<String> told = new ArrayList<>();
+    final List<String> delivered = new ArrayList<>();
     final List<String> calls = new ArrayList<>();
     private final Deque<Consumer<Scan>> scans = new ArrayDeque<>();
-    private final Deque<Consumer<Changes>> feeds = new ArrayDeque<>();
-    final TableWatcher follower =
-        new TableWatcher(this, process, TABLE, PARTS, this::tell, () -> told.add("current"));
+    private final Deque<Consumer<Changes>> watches = new ArrayDeque<>();
+    final TableWatcher watcher =
+        new TableWatcher(
+            this, process, TABLE, PARTS, this::deliver, () -> delivered.add("current"));
 
-    Script() {
-      follower.start();
+    ScriptedStore() {
+      watcher.start();
     }
 
-    private void tell(Row row) {
-      told.add(row.key() + (row.removed() ? "-" : "+") + row.version());
+    private void deliver(Row row) {
+      delivered.add(row.key() + (row.removed() ? "-" : "+") + row.version());
     }
 
     @Override
@@ -64,24 +65,24 @@
     @Override
     public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
       calls.add("after " + after);
-      feeds.add(done);
+      watches.add(done);
     }
 
-    void page(long version, Row... rows) {
+    void answerScan(long version, Row... rows) {
       scans.remove().accept(new Scan(true, List.of(rows), version, 1));
     }
 
-    void noPage() {
+    void failScan() {
       scans.remove().accept(Scan.FAILED);
       time.run(1_000);
     }
 
-    void news(long version, Row... rows) {
-      feeds.remove().accept(new Changes(Changes.Outcome.CURRENT, List.of(rows), version));
+    void answerWatch(long version, Row... rows) {
+      watches.remove().accept(new Changes(Changes.Outcome.CURRENT, List.of(rows), version));
     }
 
-    void news(Changes.Outcome outcome) {
-      feeds.remove().accept(Changes.of(outcome));
+    void answerWatch(Changes.Outcome outcome) {
+      watches.remove().accept(Changes.of(outcome));
       time.run(1_000);
     }
   }
@@ -91,139 +92,143 @@
 
     /** Guards against a change of a partition that was read while another was still to be read. */
     @Test
-    public void goesOnFromTheOldestReading() {
-      Script script = new Script();
-      script.page(5, row("one", "a", 3));
-      script.page(9, row("two", "b", 8));
-      script.news(9, row("one", "c", 7), row("two", "b", 8), removed("one", "a", 9));
-      assertEquals(script.told, List.of("a+3", "b+8", "current", "c+7", "a-9"));
-      assertEquals(script.calls, List.of("one", "two", "after 5", "after 9"));
+    public void continuesFromTheOldestScan() {
+      ScriptedStore store = new ScriptedStore();
+      store.answerScan(5, row("one", "a", 3));
+      store.answerScan(9, row("two", "b", 8));
+      store.answerWatch(9, row("one", "c", 7), row("two", "b", 8), removed("one", "a", 9));
+      assertEquals(store.delivered, List.of("a+3", "b+8", "current", "c+7", "a-9"));
+      assertEquals(store.calls, List.of("one", "two", "after 5", "after 9"));
     }
 
     /** Guards against work that starts on news of some partitions while one is away. */
     @Test
-    public void tellsNothingWhileOnePartitionIsAway() {
-      Script script = new Script();
-      script.page(5, row("one", "a", 3));
-      script.noPage();
-      script.page(6, row("one", "a", 3));
-      script.noPage();
-      assertEquals(script.told, List.of());
-      assertTrue(script.follower.lastContactMillis() < 0);
-      script.page(7);
-      script.page(7, row("two", "b", 2));
-      assertEquals(script.told, List.of("b+2", "current"));
+    public void deliversNothingWhileOnePartitionIsUnavailable() {
+      ScriptedStore store = new ScriptedStore();
+      store.answerScan(5, row("one", "a", 3));
+      store.failScan();
+      store.answerScan(6, row("one", "a", 3));
+      store.failScan();
+      assertEquals(store.delivered, List.of());
+      assertTrue(store.watcher.lastContactMillis() < 0);
+      store.answerScan(7);
+      store.answerScan(7, row("two", "b", 2));
+      assertEquals(store.delivered, List.of("b+2", "current"));
     }
 
     /** Guards against rows that were removed, changed or written while changes were forgotten. */
     @Test
-    public void tellsWhatHappenedInForgottenChanges() {
-      Script script = new Script();
-      script.page(5, row("one", "a", 3), row("one", "b", 4));
-      script.page(5);
-      script.news(TableStore.Changes.Outcome.FORGOTTEN);
-      final long contact = script.follower.lastContactMillis();
-      script.page(20, row("one", "b", 12), row("one", "c", 13));
-      script.noPage();
-      assertEquals(script.follower.lastContactMillis(), contact);
-      script.page(21, row("one", "b", 12), row("one", "c", 13));
-      script.page(22, row("two", "d", 22));
-      script.news(22, row("two", "d", 22));
-      assertEquals(script.told, List.of("a+3", "b+4", "current", "a-21", "b+12", "c+13", "d+22"));
+    public void deliversForgottenChanges() {
+      ScriptedStore store = new ScriptedStore();
+      store.answerScan(5, row("one", "a", 3), row("one", "b", 4));
+      store.answerScan(5);
+      store.answerWatch(TableStore.Changes.Outcome.FORGOTTEN);
+      final long contact = store.watcher.lastContactMillis();
+      store.answerScan(20, row("one", "b", 12), row("one", "c", 13));
+      store.failScan();
+      assertEquals(store.watcher.lastContactMillis(), contact);
+      store.answerScan(21, row("one", "b", 12), row("one", "c", 13));
+      store.answerScan(22, row("two", "d", 22));
+      store.answerWatch(22, row("two", "d", 22));
+      assertEquals(
+          store.delivered, List.of("a+3", "b+4", "current", "a-21", "b+12", "c+13", "d+22"));
     }
 
     /** Guards against a removal between two readings that is lost since its version looks old. */
     @Test
-    public void tellsRemovalsBetweenTwoReadings() {
-      Script script = new Script();
-      script.page(8);
-      script.page(8, row("two", "a", 8));
-      script.news(TableStore.Changes.Outcome.FORGOTTEN);
-      script.page(8);
-      script.page(9);
-      script.news(9, removed("two", "a", 9));
-      assertEquals(script.told, List.of("a+8", "current", "a-9"));
+    public void deliversRemovalsBetweenTwoScans() {
+      ScriptedStore store = new ScriptedStore();
+      store.answerScan(8);
+      store.answerScan(8, row("two", "a", 8));
+      store.answerWatch(TableStore.Changes.Outcome.FORGOTTEN);
+      store.answerScan(8);
+      store.answerScan(9);
+      store.answerWatch(9, removed("two", "a", 9));
+      assertEquals(store.delivered, List.of("a+8", "current", "a-9"));
     }
   }
 
   /** Answers about changes. */
-  public static class Following {
-
-    private static Script read() {
-      Script script = new Script();
-      script.page(5);
-      script.page(5);
-      script.calls.clear();
-      script.told.clear();
-      return script;
+  public static class Watching {
+
+    private static ScriptedStore scannedStore() {
+      ScriptedStore store = new ScriptedStore();
+      store.answerScan(5);
+      store.answerScan(5);
+      store.calls.clear();
+      store.delivered.clear();
+      return store;
     }
 
     /** Guards against a question that begins after changes whose answer never came. */
     @Test
-    public void asksAgainForWhatWasNotAnswered() {
-      Script script = read();
-      script.news(TableStore.Changes.Outcome.FAILED);
-      script.news(TableStore.Changes.Outcome.FAILED);
-      script.news(7, row("one", "a", 6));
-      assertEquals(script.calls, List.of("after 5", "after 5", "after 7"));
-      assertEquals(script.told, List.of("a+6"));
+    public void repeatsUnansweredRequests() {
+      ScriptedStore store = scannedStore();
+      store.answerWatch(TableStore.Changes.Outcome.FAILED);
+      store.answerWatch(TableStore.Changes.Outcome.FAILED);
+      store.answerWatch(7, row("one", "a", 6));
+      assertEquals(store.calls, List.of("after 5", "after 5", "after 7"));
+      assertEquals(store.delivered, List.of("a+6"));
     }
 
     /** Guards against rows told again, or taken back, by an answer that lies further back. */
     @Test
-    public void tellsNoRowOlderThanItsLast() {
-      Script script = read();
-      script.news(9, row("one", "a", 9));
-      script.news(7, row("one", "a", 7), removed("one", "a", 8), row("one", "a", 9));
-      script.news(TableStore.Changes.Outcome.FAILED);
-      assertEquals(script.told, List.of("a+9"));
-      assertEquals(script.calls, List.of("after 9", "after 9", "after 9"));
+    public void deliversNoRowOlderThanItsLast() {
+      ScriptedStore store = scannedStore();
+      store.answerWatch(9, row("one", "a", 9));
+      store.answerWatch(7, row("one", "a", 7), removed("one", "a", 8), row("one", "a", 9));
+      store.answerWatch(TableStore.Changes.Outcome.FAILED);
+      assertEquals(store.delivered, List.of("a+9"));
+      assertEquals(store.calls, List.of("after 9", "after 9", "after 9"));
     }
 
     /** Guards against rows of other partitions that are taken for ours. */
     @Test
-    public void passesOverOtherPartitionsOnly() {
-      Script script = read();
-      script.news(8, row("other", "x", 6), row("two", "b", 7), row("other", "y", 8));
-      assertEquals(script.told, List.of("b+7"));
-      assertFalse(script.calls.isEmpty());
+    public void skipsOtherPartitionsOnly() {
+      ScriptedStore store = scannedStore();
+      store.answerWatch(8, row("other", "x", 6), row("two", "b", 7), row("other", "y", 8));
+      assertEquals(store.delivered, List.of("b+7"));
+      assertFalse(store.calls.isEmpty());
     }
   }
 
   /** Stores in trouble at random, in virtual time. */
-  public static class Storm {
+  public static class RandomFaults {
 
     private static final int SEEDS = 500;
     private static final int WRITES = 150;
 
     /** Guards against a table that is not as the store has it once the trouble is over. */
     @Test
-    public void endsWithTheTableAsItIs() {
+    public void convergesOnceFaultsEnd() {
       List<Integer> wrong =
-          IntStream.range(0, SEEDS).filter(seed -> !new Troubled(seed).agrees()).boxed().toList();
+          IntStream.range(0, SEEDS)
+              .filter(seed -> !new FaultyStore(seed).converges())
+              .boxed()
+              .toList();
       assertEquals(wrong, List.of(), "seeds of " + SEEDS);
     }
   }
 
   /** A store that answers late, not at all, or has forgotten; and one follower. */
-  private static final class Troubled implements TableStore {
+  private static final class FaultyStore implements TableStore {
     final VirtualTimers time = new VirtualTimers();
     private final FakeTableStore store = new FakeTableStore(time);
     private final VirtualTimers.View process = time.process();
-    private final TableStore calm = store.seenBy(process, call -> true);
+    private final TableStore faultless = store.seenBy(process, call -> true);
     private final Random random;
     private final Map<String, String> mirror = new TreeMap<>();
     private final Map<String, Long> versions = new HashMap<>();
     private boolean ordered = true;
     private boolean over;
 
-    Troubled(int seed) {
+    FaultyStore(int seed) {
       random = new Random(seed);
-      new TableWatcher(this, process, TABLE, PARTS, this::tell, () -> {}).start();
+      new TableWatcher(this, process, TABLE, PARTS, this::deliver, () -> {}).start();
     }
 
-    boolean agrees() {
-      for (int i = 0; i < Storm.WRITES; i++) {
+    boolean converges() {
+      for (int i = 0; i < RandomFaults.WRITES; i++) {
         write("k" + random.nextInt(20), "v" + i);
         time.run(random.nextInt(200));
       }
@@ -235,7 +240,7 @@
     private void write(String key, String text) {
       RowKey at = new RowKey(TABLE, PARTS.get(Math.floorMod(key.hashCode(), 2)), key);
       boolean removal = random.nextInt(4) == 0;
-      calm.commit(
+      faultless.commit(
           removal
               ? new Transaction(Map.of(), Map.of(), List.of(at))
               : new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of()),
@@ -243,7 +248,7 @@
           answer -> {});
     }
 
-    private void tell(Row row) {
+    private void deliver(Row row) {
       Long before = versions.put(row.key(), row.version());
       ordered &= before == null || before < row.version();
       if (row.removed()) {
@@ -258,7 +263,7 @@
       throw new AssertionError("a follower writes nothing");
     }
 
-    private boolean strikes(int percent) {
+    private boolean occurs(int percent) {
       return !over && random.nextInt(100) < percent;
     }
 
@@ -268,25 +273,25 @@
 
     @Override
     public void scan(String table, String part, String prefix, Consumer<Scan> done) {
-      if (strikes(20)) {
+      if (occurs(20)) {
         later(() -> done.accept(Scan.FAILED));
         return;
       }
-      later(() -> calm.scan(table, part, prefix, scan -> later(() -> done.accept(scan))));
+      later(() -> faultless.scan(table, part, prefix, scan -> later(() -> done.accept(scan))));
     }
 
     @Override
     public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
-      if (strikes(15)) {
+      if (occurs(15)) {
         later(() -> done.accept(Changes.of(Changes.Outcome.FORGOTTEN)));
         return;
       }
-      boolean lost = strikes(20);
-      calm.watch(
+      boolean lost = occurs(20);
+      faultless.watch(
           table,
           after,
           waitMillis,
-          news -> later(() -> done.accept(lost ? Changes.of(Changes.Outcome.FAILED) : news)));
+          changes -> later(() -> done.accept(lost ? Changes.of(Changes.Outcome.FAILED) : changes)));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
@@ -16,11 +16,11 @@
   private static final String TABLE = "table";
 
   /** One follower of one table; its listener throws at rows that it is told to choke on. */
-  private static final class Lab {
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final FakeTableStore store = new FakeTableStore(time);
     final VirtualTimers.View process = time.process();
-    final List<String> told = new ArrayList<>();
+    final List<String> delivered = new ArrayList<>();
     int calls;
     private final TableStore seen =
         store.seenBy(
@@ -30,26 +30,26 @@
               return true;
             });
 
-    void follow() {
-      follower().start();
+    void startWatcher() {
+      newWatcher().start();
       time.run(200);
     }
 
-    TableWatcher follower() {
-      return new TableWatcher(seen, process, TABLE, List.of(""), this::tell, () -> {});
+    TableWatcher newWatcher() {
+      return new TableWatcher(seen, process, TABLE, List.of(""), this::deliver, () -> {});
     }
 
-    private void tell(Row row) {
+    private void deliver(Row row) {
       if (row.text().equals("bad")) {
         throw new IllegalArgumentException("a row that nobody can read");
       }
-      told.add(row.key() + "=" + row.text());
+      delivered.add(row.key() + "=" + row.text());
     }
 
     void write(String key, String text) {
       RowKey at = new RowKey(TABLE, "", key);
-      Transaction change = new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of());
-      seen.commit(change, 1_000, answer -> {});
+      Transaction transaction = new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of());
+      seen.commit(transaction, 1_000, answer -> {});
       time.run(200);
     }
   }
@@ -57,65 +57,65 @@
   /** Tables in which rows change all the time. */
   public static class Batching {
 
-    private static void writeEachTenMillis(Lab lab) {
+    private static void writeEachTenMillis(Simulation simulation) {
       for (int i = 0; i < 100; i++) {
-        Transaction change =
+        Transaction transaction =
             new Transaction(
                 Map.of(), Map.of(new RowKey(TABLE, "", "k" + i), Payload.of("v")), List.of());
-        lab.seen.commit(change, 1_000, answer -> {});
-        lab.time.run(10);
+        simulation.seen.commit(transaction, 1_000, answer -> {});
+        simulation.time.run(10);
       }
-      lab.time.run(300);
+      simulation.time.run(300);
     }
 
     /** Guards against a call to the store for each change of a busy table. */
     @Test
-    public void asksOnceForManyChanges() {
-      Lab lab = new Lab();
-      lab.follower().withMinInterval(100).start();
-      lab.time.run(200);
-      int before = lab.calls;
-      writeEachTenMillis(lab);
-      assertEquals(lab.told.size(), 100);
-      assertTrue(lab.calls - before <= 15, "calls: " + (lab.calls - before));
+    public void requestsOnceForManyChanges() {
+      Simulation simulation = new Simulation();
+      simulation.newWatcher().withMinInterval(100).start();
+      simulation.time.run(200);
+      int before = simulation.calls;
+      writeEachTenMillis(simulation);
+      assertEquals(simulation.delivered.size(), 100);
+      assertTrue(simulation.calls - before <= 15, "calls: " + (simulation.calls - before));
     }
 
     /** Without batches each change is told at once. */
     @Test
-    public void otherwiseAsksAtOnce() {
-      Lab lab = new Lab();
-      lab.follow();
-      writeEachTenMillis(lab);
-      assertEquals(lab.told.size(), 100);
-      assertTrue(lab.calls > 50, "calls: " + lab.calls);
+    public void otherwiseRequestsAtOnce() {
+      Simulation simulation = new Simulation();
+      simulation.startWatcher();
+      writeEachTenMillis(simulation);
+      assertEquals(simulation.delivered.size(), 100);
+      assertTrue(simulation.calls > 50, "calls: " + simulation.calls);
     }
   }
 
   /** How old what was told is, and what it costs to know that. */
-  public static class Dating {
+  public static class Freshness {
 
     private static final long MILLIS = 60_000;
 
     /** Returns the questions of a minute. */
-    private static long calls(long readMillis, boolean shorter, long leapMillis) {
-      Lab lab = new Lab();
-      lab.store.readMillis = readMillis;
-      lab.store.transactionMillis = 2 * readMillis;
-      TableWatcher follower = lab.follower();
-      (shorter ? follower.withMaxWait(500) : follower).start();
-      lab.time.run(5_000);
-      long before = lab.calls;
-      lab.process.leapMillis = leapMillis;
+    private static long calls(long readMillis, boolean shortWait, long jumpMillis) {
+      Simulation simulation = new Simulation();
+      simulation.store.readMillis = readMillis;
+      simulation.store.transactionMillis = 2 * readMillis;
+      TableWatcher watcher = simulation.newWatcher();
+      (shortWait ? watcher.withMaxWait(500) : watcher).start();
+      simulation.time.run(5_000);
+      long before = simulation.calls;
+      simulation.process.clockOffsetMillis = jumpMillis;
       for (long at = 0; at < MILLIS; at += 100) {
-        follower.refreshAfterClockJump();
-        lab.time.run(100);
+        watcher.refreshAfterClockJump();
+        simulation.time.run(100);
       }
-      return lab.calls - before;
+      return simulation.calls - before;
     }
 
     /** Guards against questions without a wait where nothing is old. */
     @Test
-    public void asksNoMoreThanItsWaitSays() {
+    public void requestsNoMoreOftenThanItsWaitAllows() {
       assertEquals(calls(4, false, 0), MILLIS / 1_000);
       assertEquals(calls(4, true, 0), MILLIS / 500);
       assertTrue(calls(240, false, 0) <= MILLIS / 1_240 + 1);
@@ -124,77 +124,77 @@
 
     /** Guards against questions without a wait for as long as the time of day is off. */
     @Test
-    public void asksOnceMoreAfterLeaps() {
-      for (long leap : new long[] {-3_000, 1_500, 3_000, 3_600_000}) {
-        assertTrue(calls(4, false, leap) <= MILLIS / 1_000 + 2);
-        assertTrue(calls(4, true, leap) <= MILLIS / 500 + 2);
-        assertTrue(calls(240, true, leap) <= MILLIS / 740 + 2);
+    public void requestsOnceMoreAfterClockJumps() {
+      for (long jump : new long[] {-3_000, 1_500, 3_000, 3_600_000}) {
+        assertTrue(calls(4, false, jump) <= MILLIS / 1_000 + 2);
+        assertTrue(calls(4, true, jump) <= MILLIS / 500 + 2);
+        assertTrue(calls(240, true, jump) <= MILLIS / 740 + 2);
       }
     }
 
     /** Guards against answers that are dated by a time of day that has been set since. */
     @Test
-    public void knowsNewsSoonAfterLeaps() {
-      Lab lab = new Lab();
-      TableWatcher follower = lab.follower();
-      follower.start();
-      lab.time.run(5_300);
-      lab.process.leapMillis = 3_000;
-      follower.refreshAfterClockJump();
-      lab.time.run(200);
-      assertTrue(lab.process.now().longestSince(follower.lastRequestSent()) <= 200);
+    public void isFreshSoonAfterClockJumps() {
+      Simulation simulation = new Simulation();
+      TableWatcher watcher = simulation.newWatcher();
+      watcher.start();
+      simulation.time.run(5_300);
+      simulation.process.clockOffsetMillis = 3_000;
+      watcher.refreshAfterClockJump();
+      simulation.time.run(200);
+      assertTrue(simulation.process.now().longestSince(watcher.lastRequestSent()) <= 200);
     }
 
     /** Guards against changes that count as told before they are. */
     @Test
-    public void countsAsToldWhatWasTold() {
-      Lab lab = new Lab();
-      List<Moment> asked = new ArrayList<>();
-      TableWatcher[] follower = {null};
-      follower[0] =
+    public void countsOnlyDeliveredChanges() {
+      Simulation simulation = new Simulation();
+      List<Moment> requestTimes = new ArrayList<>();
+      TableWatcher[] watcher = {null};
+      watcher[0] =
           new TableWatcher(
-              lab.seen,
-              lab.process,
+              simulation.seen,
+              simulation.process,
               TABLE,
               List.of(""),
-              row -> asked.add(follower[0].lastRequestSent()),
-              () -> asked.add(follower[0].lastRequestSent()));
-      lab.write("a", "v");
-      Moment began = lab.process.now();
-      follower[0].start();
-      lab.time.run(200);
-      assertEquals(asked, List.of(TableWatcher.NEVER, began));
-      lab.write("b", "v");
-      assertEquals(asked, List.of(TableWatcher.NEVER, began, began));
+              row -> requestTimes.add(watcher[0].lastRequestSent()),
+              () -> requestTimes.add(watcher[0].lastRequestSent()));
+      simulation.write("a", "v");
+      Moment began = simulation.process.now();
+      watcher[0].start();
+      simulation.time.run(200);
+      assertEquals(requestTimes, List.of(TableWatcher.NEVER, began));
+      simulation.write("b", "v");
+      assertEquals(requestTimes, List.of(TableWatcher.NEVER, began, began));
     }
   }
 
   /** Rows that the listener cannot take. */
-  public static class Choking {
+  public static class RejectedRows {
 
     /**
      * Another writer leaves a row that the listener chokes on. The exception ended the follower
      * without a word: the process went on with the table as it was, and saw no change ever after.
      */
     @Test
-    public void goesOnAfterRowsThatCannotBeTaken() {
-      Lab lab = new Lab();
-      lab.follow();
-      lab.write("a", "bad");
-      lab.write("b", "good");
-      lab.write("a", "good");
-      assertEquals(lab.told, List.of("b=good", "a=good"));
+    public void continuesAfterRejectedRows() {
+      Simulation simulation = new Simulation();
+      simulation.startWatcher();
+      simulation.write("a", "bad");
+      simulation.write("b", "good");
+      simulation.write("a", "good");
+      assertEquals(simulation.delivered, List.of("b=good", "a=good"));
     }
 
     /** The same row lies there already when the table is first read: the rows after it are told. */
     @Test
-    public void tellsRowsBesideThoseThatCannotBeTaken() {
-      Lab lab = new Lab();
-      lab.write("a", "bad");
-      lab.write("b", "good");
-      lab.follow();
-      lab.write("c", "good");
-      assertEquals(lab.told, List.of("b=good", "c=good"));
+    public void deliversOtherRowsBesideRejectedOnes() {
+      Simulation simulation = new Simulation();
+      simulation.write("a", "bad");
+      simulation.write("b", "good");
+      simulation.startWatcher();
+      simulation.write("c", "good");
+      assertEquals(simulation.delivered, List.of("b=good", "c=good"));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
@@ -23,20 +23,20 @@
     long lateMillis;
 
     /** How far the time of day is set forward, in milliseconds; back if negative. */
-    long leapMillis;
+    long clockOffsetMillis;
 
     private long resumesMillis;
-    private long stoodMillis;
+    private long clockStoppedMillis;
 
     /** Stops the process for so long; its steady clock may stand still meanwhile. */
     void pause(long millis, boolean clockToo) {
       resumesMillis = now + millis;
-      stoodMillis += clockToo ? millis : 0;
+      clockStoppedMillis += clockToo ? millis : 0;
     }
 
     @Override
     public Moment now() {
-      return new Moment(now - stoodMillis, now + leapMillis);
+      return new Moment(now - clockStoppedMillis, now + clockOffsetMillis);
     }
 
     @Override
