--- a/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
@@ -25,22 +25,25 @@
 import org.cottontack.wire.JobCodec;
 import org.cottontack.wire.WireException;
 
-/** One term of leading: feeds the scheduler and carries out its effects. */
+/** Runs one term of leadership: passes events to the scheduler and carries out its effects. */
 final class Leader {
 
   private static final Logger LOG = LogManager.getLogger(Leader.class);
 
   /**
-   * Longest wait for news that may forbid to start work, in milliseconds. News is as old as one
-   * wait when it comes, and as two when the next comes; at a store that is 60 times slower, by 240
-   * ms each more.
+   * Longest wait for an update that may forbid to start work, in milliseconds. An update is up to
+   * one wait old when it arrives and up to two waits old when the next one arrives; with a store
+   * that is 60 times slower, each of these ages grows by 240 ms.
    */
   private static final long MAX_UPDATE_WAIT_MILLIS = 500;
 
   /** Time between two ticks of the scheduler, in milliseconds. */
   private static final long TICK_MILLIS = 100;
 
-  /** Pause after a decision as a multiple of the time it took: half the processor at most. */
+  /**
+   * Pause after a decision as a multiple of the time the decision took: decisions use at most half
+   * of the processor.
+   */
   private static final long PAUSE_FACTOR = 1;
 
   /** Longest pause between decisions, in milliseconds: a fifth of the tightest objective. */
@@ -99,9 +102,9 @@
   }
 
   /**
-   * Returns whether nothing speaks against an instance of a data centre leading in place of this
-   * one. While it takes over it asks no worker, and says yes: a small instance needs seconds for
-   * that, in which nothing starts.
+   * Returns whether an instance in the given data centre may lead in place of this one. While this
+   * leader takes over it polls no worker and returns true, because a takeover lasts seconds on a
+   * small instance and nothing starts meanwhile.
    */
   boolean mayYieldLeadershipTo(String dataCentre) {
     return scheduler == null || scheduler.mayYieldLeadershipTo(new DataCentreId(dataCentre));
@@ -168,11 +171,14 @@
         onJobArrived(job);
       }
     } catch (WireException e) {
-      LOG.error("skipping a job that cannot be read: {}", row.key(), e);
+      LOG.error("skipping unreadable job {}", row.key(), e);
     }
   }
 
-  /** Another version may store a job beside the row of a cancellation that found none. */
+  /**
+   * Posts a new job, and cancels it if a cancellation that found no job is stored for it: another
+   * version may store a job in spite of such a cancellation.
+   */
   private void onJobArrived(JobSpec job) {
     post(new JobEvent.JobArrived(job));
     if (retention.claim(job.id())) {
@@ -236,8 +242,7 @@
     registry.replay(this::post);
     List<JobId> unreadable =
         progress.keySet().stream().filter(id -> !ProgressText.readable(progress.get(id))).toList();
-    unreadable.forEach(
-        id -> LOG.error("leaving a job alone whose progress cannot be read: {}", id));
+    unreadable.forEach(id -> LOG.error("not scheduling job {}: its progress is unreadable", id));
     accepted.keySet().removeAll(unreadable);
     progress.keySet().removeAll(unreadable);
     accepted.values().stream()
@@ -257,8 +262,9 @@
             .with("epoch", epoch)
             .with("jobs", accepted.size()));
     progress.keySet().forEach(waitingRows::begun);
-    // Those without a job are what a removal left that its leader did not live to finish. Open
-    // ones without a job stay: this version may be unable to read it.
+    // Ended progress without a job is left over from a removal that an earlier leader did not
+    // finish. Open progress without a job stays, because this version may be unable to read its
+    // job.
     progress.keySet().stream().filter(id -> ended(progress.get(id))).forEach(retention::ended);
     retention.start();
     accepted.clear();
@@ -267,7 +273,7 @@
     waitingRows.start();
   }
 
-  /** Returns whether a job has ended and nothing of it is on a worker any more. */
+  /** Returns whether a job has ended and none of its tasks is on a worker any more. */
   private static boolean ended(String text) {
     return text != null && ProgressText.phase(text).terminal() && !ProgressText.onWorkers(text);
   }
@@ -302,12 +308,15 @@
     }
   }
 
-  /** Tells until when work may begin by the news that there is. */
+  /** Updates the time until which work may begin according to the last known updates. */
   private void updateStartDeadline() {
     scheduler.handle(timers.now(), new JobEvent.StartsBounded(gate.startDeadlineMillis()));
   }
 
-  /** Decides about all events since the last time; the pause bounds its share of the processor. */
+  /**
+   * Makes one decision for all events since the last one; the pause limits its share of the
+   * processor.
+   */
   private void decide() {
     decisionScheduled = false;
     if (stopped) {
@@ -364,7 +373,10 @@
     }
   }
 
-  /** Returns whether a start may leave now, and takes in how old the news is if it does. */
+  /**
+   * Returns whether a start order may be sent now, and if so records the age of the cancellation
+   * updates.
+   */
   private boolean allowStart(JobEffect.StartRun start) {
     boolean may = mayStart(start);
     if (may) {
@@ -374,10 +386,11 @@
   }
 
   /**
-   * A start needs the lease, and news of cancellations, of evacuations and of workers that are not
-   * old. While these are out of reach, callers may be told elsewhere that a job is cancelled,
-   * operators that a data centre is being emptied, and workers may say that they leave; tasks would
-   * go on starting here.
+   * Returns whether a start order may be sent. It needs the lease, and recent updates of
+   * cancellations, evacuations and workers. Without them this leader would go on starting tasks
+   * after another instance has confirmed to a caller that the job is cancelled, after an operator
+   * has received confirmation that a data centre is being evacuated, or after a worker has
+   * announced that it leaves.
    */
   private boolean mayStart(JobEffect.StartRun start) {
     return !stopped
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
@@ -14,31 +14,38 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * Elects one leader among the instances through two rows of the store: one names the leader and
- * changes only with a takeover, the other changes with each renewal. Confined to the event loop.
+ * Elects one leader among the instances through two rows of the store: the election row names the
+ * leader and changes only with a takeover, the lease row changes with each renewal. Confined to the
+ * event loop.
  */
 final class Leadership {
 
   private static final Logger LOG = LogManager.getLogger(Leadership.class);
 
-  /** Time between two renewals, in milliseconds: a lease of 2 s outlives the loss of two. */
+  /**
+   * Time between two renewals, in milliseconds: a lease of 2 s stays valid when two of them are
+   * lost.
+   */
   private static final long RENEW_MILLIS = 500;
 
-  /** Longest wait for news of the lease, in milliseconds: two fit into the lease. */
+  /** Longest wait for a change of the lease, in milliseconds: two such waits fit into the lease. */
   private static final long MAX_WATCH_MILLIS = 600;
 
   /** Pause after a call that failed, in milliseconds. */
   private static final long PAUSE_MILLIS = 200;
 
-  /** Longest wait for the answer to a renewal, in milliseconds. */
+  /** Timeout of a commit such as a renewal, in milliseconds. */
   private static final long COMMIT_TIMEOUT_MILLIS = 1_800;
 
-  /** Instances start their takeovers up to this much apart, in milliseconds. */
+  /**
+   * Range of the random delay before a takeover, in milliseconds, which spreads the takeovers of
+   * several instances.
+   */
   private static final long TAKEOVER_SPREAD_MILLIS = 150;
 
   /**
-   * Least time between two times that this instance gives the lead away, in milliseconds. Where no
-   * other instance reaches more, a shorter one would leave what still runs without a leader for a
+   * Minimum time between two handovers by this instance, in milliseconds. If no other instance
+   * reaches more workers, a shorter interval would leave the remaining tasks without a leader for a
    * third of the time.
    */
   private static final long MIN_HANDOVER_INTERVAL_MILLIS = 30_000;
@@ -48,8 +55,9 @@
   private static final RowKey LEASE = new RowKey(JobTables.LEADER, JobTables.LEADER_PART, "lease");
 
   /**
-   * Head start of other data centres when a leader gives the lead away because it was cut off, in
-   * milliseconds: several usual elections, and less than a takeover without it takes.
+   * Head start of other data centres after a leader has released the lease because it was cut off,
+   * in milliseconds: longer than several usual elections, and shorter than a takeover without a
+   * handover.
    */
   private static final long HEAD_START_MILLIS = 1_500;
 
@@ -77,28 +85,28 @@
   private long campaignEpoch;
   private Moment campaignSent;
 
-  /** What an election is about; called on the event loop. */
+  /** Listener for the terms of this instance; called on the event loop. */
   interface Listener {
 
-    /** A term was won. */
+    /** Called when this instance has won a term. */
     void won(long epoch);
 
-    /** A term ended before this process does. */
+    /** Called when a term ends while this process goes on. */
     void lost();
 
     /**
-     * Returns whether nothing speaks against an instance of a data centre leading in place of this
-     * one. A leader that has not begun knows as little of that as any election, and says yes.
+     * Returns whether an instance in the given data centre may lead in place of this one. A leader
+     * that has not begun has no more information about this than an election has, and returns true.
      */
     boolean mayYieldLeadershipTo(String dataCentre);
   }
 
   /**
-   * Creates a candidate that does nothing yet.
+   * Creates a candidate; {@link #start} begins to watch the election.
    *
    * @param instance this instance
-   * @param self this incarnation: the name, a slash and what differs with each life
-   * @param listener told of its terms
+   * @param self this incarnation: the name, a slash and a part that differs for each incarnation
+   * @param listener notified of the terms of this instance
    */
   Leadership(TableStore store, Timers timers, Instance instance, String self, Listener listener) {
     this.store = store;
@@ -141,19 +149,20 @@
     return leading && lease.mayStart(timers.now());
   }
 
-  /** Takes in that from now on this leader gives leases to workers. */
+  /** Records that this leader grants leases to workers from now on. */
   void begin() {
     begun = true;
   }
 
-  /** Returns when the last renewal of this term that is in the store was sent. */
+  /** Returns when the last renewal of this term that was stored was sent. */
   Moment renewal() {
     return lease.renewal();
   }
 
   /**
-   * Returns the steady time, in milliseconds, at which all leases have ended that earlier leaders
-   * gave to workers: none lasts longer than its giver's last renewal allows.
+   * Returns the time on the monotonic clock, in milliseconds, at which all worker leases granted by
+   * earlier leaders have ended: no lease lasts longer than the last renewal of the leader that
+   * granted it allows.
    */
   long inheritedLeaseEndMillis() {
     return leaseRow.inheritedLeaseEndMillis();
@@ -208,7 +217,8 @@
 
   /**
    * Returns whether the holder is an earlier process of this instance. That process has ended, so
-   * its lease need not be waited out: after a loss of power everywhere this saves the whole wait.
+   * its lease need not be waited for; after a power failure of all instances this saves the whole
+   * wait.
    */
   private boolean heldByOwnPreviousIncarnation(String holder) {
     return holder.startsWith(name + "/") && !holder.startsWith(self);
@@ -236,14 +246,15 @@
   private void campaign(long leaseVersion) {
     Row election = rows.get(ELECTION);
     long next = election == null ? 1 : epochOf(election) + 1;
-    // All attempts at an epoch write the same name. One that is found in the store may be the
-    // first, and a lease counted from the last would outlive what other instances wait for.
+    // All attempts at an epoch write the same name. If this name is found in the store, the first
+    // attempt may have written it. A lease counted from the last attempt would then last longer
+    // than other instances wait.
     if (next != campaignEpoch) {
       campaignEpoch = next;
       campaignSent = timers.now();
     }
     final Moment sent = campaignSent;
-    // The transaction holds only if nobody renewed after the row as we know it.
+    // The transaction succeeds only if nobody has renewed since this version of the lease row.
     Optional<Row> previous = Optional.ofNullable(rows.get(LEASE)).filter(row -> leaseVersion > 0);
     leaseRow.inherit(previous.map(row -> LeaseText.parse(row.text())), lease.changedMillis());
     Transaction transaction =
@@ -270,7 +281,10 @@
         });
   }
 
-  /** A takeover whose answer was lost may still be in the store. */
+  /**
+   * Checks whether a takeover was stored although it was not confirmed: its response may have been
+   * lost.
+   */
   private void checkTakeover(long next, Moment sent) {
     store.scan(
         JobTables.LEADER,
@@ -321,9 +335,9 @@
   }
 
   /**
-   * Renews the lease if it is time. Whoever keeps the event loop busy asks for this before each
-   * piece of work: behind hundreds of answers and a decision of a second the timer alone came 1.4 s
-   * late, and a small leader lost its lease in the rush after its takeover.
+   * Renews the lease if a renewal is due. Code that keeps the event loop busy calls this before
+   * each piece of work. With the timer alone, renewals came 1.4 s late behind hundreds of responses
+   * and a decision of a second, and a small leader lost its lease in the load after its takeover.
    */
   void renewIfDue() {
     if (leading && timers.now().mono() - renewalSentMillis >= RENEW_MILLIS) {
@@ -338,9 +352,9 @@
     Map<RowKey, Long> expected = new HashMap<>();
     expected.put(ELECTION, electionVersion);
     expected.put(LeadershipHandover.REQUEST, handover.requestVersion());
-    // An unanswered copy that is carried out late would put its old time over a newer one, and the
-    // next leader would not wait for all leases. So a renewal says its time only where it expects
-    // the row as our last one left it; any other says none.
+    // A duplicate of an unanswered renewal may be carried out late. If it wrote its old time over a
+    // newer one, the next leader would not wait for all leases. So a renewal states its time only
+    // if it expects the row version that our last renewal wrote; any other renewal states none.
     boolean includesTime = leaseVersionKnown;
     if (includesTime) {
       expected.put(LEASE, leaseVersion);
@@ -360,8 +374,9 @@
     if (result.outcome() == CommitResult.Outcome.DONE) {
       lease.renewed(sent);
       leaseVersion = Math.max(leaseVersion, result.version());
-      // Behind a late answer newer renewals are under way. One that expected the row as this one
-      // left it would conflict, and while answers are late so would each after it.
+      // When a response is late, newer renewals are already in flight. A renewal that expected the
+      // row version of this one would conflict, and so would each later one while responses are
+      // late.
       leaseVersionKnown = number == renewals;
       yieldLeadership();
     } else if (result.outcome() == CommitResult.Outcome.CONFLICT) {
@@ -372,7 +387,8 @@
   }
 
   /**
-   * A renewal conflicts when another instance has taken over, and when one has asked for the lead.
+   * Handles a conflict of a renewal: another instance has taken over, or one has requested the
+   * leadership.
    */
   private void conflicted(long term, CommitResult result) {
     if (result.current(ELECTION).map(Row::version).orElse(0L) != electionVersion) {
@@ -383,15 +399,16 @@
         sendRenewal(term);
       }
     } else {
-      // Only the lease row differs, by a late copy of ours. Sent again it expects nothing of it.
+      // Only the lease row differs, because of a late duplicate of our own renewal. The repeated
+      // renewal expects no version of that row.
       sendRenewal(term);
     }
   }
 
   /**
-   * Gives the lead to a larger instance that asked for it. It has reached the store to ask; one
-   * whose data centre this leader does not reach may be cut off from most workers, and is not
-   * answered.
+   * Yields leadership to a larger instance that has requested it. That instance reached the store
+   * to request it, but it may be cut off from most workers if this leader does not reach its data
+   * centre; such a request is not answered.
    */
   private void yieldLeadership() {
     handover
@@ -410,7 +427,7 @@
                         LeadershipHandover.handedOver(epoch))));
   }
 
-  /** Ends this instance's term, if it leads, and watches the next leader. */
+  /** Ends the term of this instance, if it leads, and watches the next leader. */
   void stepDown(String reason) {
     if (leading) {
       endTerm(reason);
@@ -427,8 +444,8 @@
   }
 
   /**
-   * Ends this instance's term and gives the lease back, with a head start for instances of other
-   * data centres: one nearby is probably cut off as well.
+   * Ends the term of this instance and releases the lease, with a head start for instances of other
+   * data centres, because an instance in the same data centre is probably cut off as well.
    */
   void handOver(String reason) {
     handOver(
@@ -453,13 +470,16 @@
     return leaseRow.free(cutOff, timers.now(), begun);
   }
 
-  /** Gives the lease back, unless another instance has taken over meanwhile. */
+  /** Releases the lease, unless another instance has taken over meanwhile. */
   private void releaseLease(Map<RowKey, Payload> writes, Consumer<CommitResult> done) {
     Transaction transaction = new Transaction(Map.of(ELECTION, electionVersion), writes, List.of());
     store.commit(transaction, COMMIT_TIMEOUT_MILLIS, done);
   }
 
-  /** Leaves for good: gives the lease back so that another instance need not wait for it. */
+  /**
+   * Leaves the election permanently and releases the lease, so that another instance need not wait
+   * for it to expire.
+   */
   void leave(Runnable done) {
     stopped = true;
     if (!leading) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -9,35 +9,40 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * Brings the lead to an instance that can carry it, through two rows beside the lease: one says
- * what the leader has, the other who asked it for the lead. Confined to the event loop.
+ * Moves leadership to an instance with enough capacity, through two rows beside the lease: one
+ * holds the capacity of the leader, the other the last request for leadership. Confined to the
+ * event loop.
  */
 final class LeadershipHandover {
 
-  /** What the leader has; written with each takeover, and for the next one when it makes way. */
+  /**
+   * Capacity of the leader; written with each takeover, and by a leader that yields, on behalf of
+   * the next one.
+   */
   static final RowKey CAPACITY = new RowKey(JobTables.LEADER, JobTables.LEADER_PART, "capacity");
 
   /**
-   * Who asked last, or that a leader gave the lead away since. Each renewal expects it unchanged:
-   * so the leader hears of a request, and no renewal under way takes back what was given.
+   * The last request, or a mark that a leader has handed over since. Each renewal expects this row
+   * unchanged, so the leader notices a request, and a renewal in flight cannot take leadership back
+   * after a handover.
    */
   static final RowKey REQUEST = new RowKey(JobTables.LEADER, JobTables.LEADER_PART, "request");
 
   private static final int PARTS = 4;
 
   /**
-   * An instance asks a leader for the lead.
+   * Request of an instance for leadership.
    *
-   * @param epoch the leader's term
-   * @param capacity what the instance has for leading
-   * @param dataCentre where it is
+   * @param epoch the term of the leader that receives the request
+   * @param capacity the capacity of the requesting instance for leading
+   * @param dataCentre the data centre of the requesting instance
    */
   record Request(long epoch, Capacity capacity, String dataCentre) {
 
     private static Optional<Request> parse(String text) {
       String[] parts = text.split(" ", PARTS);
-      // Others may write here. A row that ended the watch would keep this instance from ever
-      // leading.
+      // Other programs may write this row. If an unreadable row ended the watch, this instance
+      // could never lead again.
       if (parts.length < PARTS || !parts[0].matches("\\d{1,18}")) {
         return Optional.empty();
       }
@@ -56,10 +61,10 @@
   private Optional<Request> pendingRequest = Optional.empty();
 
   /**
-   * Begins without news.
+   * Creates a handover without a known request.
    *
    * @param instance this instance
-   * @param gapMillis least time between two requests that it knows of, in milliseconds
+   * @param gapMillis minimum time between two requests known to this instance, in milliseconds
    */
   LeadershipHandover(Instance instance, long gapMillis) {
     this.instance = instance;
@@ -72,7 +77,7 @@
 
   // Before a term
 
-  /** Takes in the rows as they are watched. */
+  /** Updates the last known request from the watched rows. */
   void observed(long nowMillis, Map<RowKey, Row> rows) {
     Row row = rows.get(REQUEST);
     if (row != null) {
@@ -88,8 +93,9 @@
   }
 
   /**
-   * Returns how long to leave a free lead to larger instances, in milliseconds: the last leader,
-   * and one that asked it in vain.
+   * Returns how long this instance waits before it takes a free leadership, in milliseconds, so
+   * that a larger instance can take it first: the last leader, or one whose request that leader did
+   * not answer.
    */
   long standBackMillis(Map<RowKey, Row> rows, long epoch) {
     Optional<Capacity> requested =
@@ -101,22 +107,22 @@
         .orElse(0);
   }
 
-  /** Returns what a takeover writes. */
+  /** Returns the capacity that a takeover writes. */
   Payload capacityPayload() {
     return Payload.of(instance.capacity().text());
   }
 
   /**
-   * Returns the request to the leader, if there is reason for one. It holds for one term, and only
-   * one of several instances that ask at once gets it into the store.
+   * Returns a request to the leader, if this instance may send one now. A request is valid for one
+   * term, and if several instances send one at once only one is stored.
    *
-   * @param election the row of the current term
-   * @param epoch its number
+   * @param election the election row of the current term
+   * @param epoch the number of that term
    */
   Optional<Transaction> requestLeadership(
       long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
     Row held = rows.get(CAPACITY);
-    // Another version of the product that took over has not written the row, and hears no requests.
+    // A leader of another version has not written this row and does not notice requests.
     boolean supportsRequests = held != null && held.version() == election.version();
     if (!supportsRequests || !mayRequest(nowMillis, epoch, held)) {
       return Optional.empty();
@@ -140,22 +146,22 @@
 
   // During a term
 
-  /** Begins a term with the rows as they were last seen. */
+  /** Begins a term with the last known rows. */
   void began(Map<RowKey, Row> rows) {
     requestVersion = version(rows.get(REQUEST));
     pendingRequest = Optional.empty();
   }
 
-  /** Returns the version that a renewal expects of the request. */
+  /** Returns the version of the request row that a renewal expects. */
   long requestVersion() {
     return requestVersion;
   }
 
   /**
-   * Takes in the row of requests after a renewal found it changed.
+   * Updates the pending request after a renewal has found the request row changed.
    *
-   * @param epoch the term that this instance leads; requests to earlier ones are nothing to it
-   * @return whether it is news
+   * @param epoch the term that this instance leads; requests of earlier terms are ignored
+   * @return whether the row has changed
    */
   boolean updateRequest(long epoch, Optional<Row> row) {
     long version = row.map(Row::version).orElse(0L);
@@ -168,17 +174,20 @@
     return true;
   }
 
-  /** Returns the request that was heard and not answered. */
+  /** Returns the request that this leader has received and not answered. */
   Optional<Request> pendingRequest() {
     return pendingRequest;
   }
 
-  /** Returns what a leader writes that gives the lead away; it is no request. */
+  /**
+   * Returns what a leader writes to the request row when it hands over; it does not parse as a
+   * request.
+   */
   static Payload handedOver(long epoch) {
     return Payload.of(epoch + " handed over");
   }
 
-  /** Ends a term. */
+  /** Ends a term; this instance requests nothing for a while. */
   void ended(long nowMillis) {
     pendingRequest = Optional.empty();
     candidacy.keepQuiet(nowMillis);
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
@@ -7,8 +7,9 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * What an instance writes to the leader's lease row, and what it owes to the leaders before it: the
- * row says for how long leases of workers may last that its writer or an earlier leader gave.
+ * Creates the texts that an instance writes to the lease row of the leader, and keeps the end of
+ * the leases inherited from earlier leaders. The row states how long worker leases that its writer
+ * or an earlier leader granted may last.
  */
 final class LeaseRow {
 
@@ -17,7 +18,7 @@
   private long inheritedLeaseEndMillis;
 
   /**
-   * Creates the writer of an instance that has inherited nothing.
+   * Creates the writer of an instance that has inherited no leases.
    *
    * @param self this incarnation
    */
@@ -26,38 +27,39 @@
   }
 
   /**
-   * Takes in what the store's clock said between a question and its answer.
+   * Updates the store's clock from a response.
    *
-   * @param requestSent when we asked
-   * @param received when we heard
-   * @param storeMillis the store's clock, in milliseconds; 0 if it did not say
+   * @param requestSent when the request was sent
+   * @param received when the response was received
+   * @param storeMillis the store's clock, in milliseconds; 0 if the response did not state it
    */
   void updateClock(Moment requestSent, Moment received, long storeMillis) {
     clock.update(requestSent, received, storeMillis);
   }
 
   /**
-   * Takes in whose workers' leases an instance inherits that takes over.
+   * Records the worker leases that this instance inherits when it takes over.
    *
-   * @param last what the row says; empty when there is none
-   * @param changedMillis steady time at which we saw the row change, in milliseconds
+   * @param last the last text of the lease row; empty when there is none
+   * @param changedMillis monotonic time at which this instance saw the row change, in milliseconds
    */
   void inherit(Optional<LeaseText> last, long changedMillis) {
     inheritedLeaseEndMillis = last.map(text -> leaseEndMillis(text, changedMillis)).orElse(0L);
   }
 
   /**
-   * Returns the steady time, in milliseconds, at which all leases have ended that earlier leaders
-   * gave to workers: none lasts longer than its giver's last renewal allows.
+   * Returns the time on the monotonic clock, in milliseconds, at which all worker leases granted by
+   * earlier leaders have ended: no lease lasts longer than the last renewal of the leader that
+   * granted it allows.
    */
   long inheritedLeaseEndMillis() {
     return inheritedLeaseEndMillis;
   }
 
   /**
-   * Returns the steady time at which all leases of the holder's workers have ended: counted from
-   * when the row was written, as far as the store's clock tells, at the latest from when we saw it
-   * first. A process that began after the holder's death saw the row late.
+   * Returns the monotonic time at which all leases of the holder's workers have ended. It counts
+   * from when the row was written if the store's clock is known, and at the latest from when this
+   * instance first saw the row. A process that began after the holder's death saw the row late.
    */
   private long leaseEndMillis(LeaseText text, long changedMillis) {
     long endByObservation = changedMillis + text.grantMillis();
@@ -74,7 +76,7 @@
    *
    * @param renewals how often this process has renewed it
    * @param sent when it is sent
-   * @param includesTime whether it says so, by the store's clock
+   * @param includesTime whether the text states the time of sending, by the store's clock
    */
   Payload held(long renewals, Moment sent, boolean includesTime) {
     long grant = Math.max(LeaderLease.GRANT_MILLIS, remainingInheritedMillis(sent));
@@ -83,13 +85,13 @@
   }
 
   /**
-   * Returns the text of a free lease. A leader that has not begun has given no leases itself. Were
-   * its short term counted like any other, making way at once would begin the wait for lost workers
-   * anew.
+   * Returns the text of a free lease. A leader that has not begun has granted no leases itself. If
+   * its short term counted like any other, a leader that yields at once would restart the wait for
+   * lost workers.
    *
-   * @param cutOff the data centre that is to stand back; empty for none
+   * @param cutOff the data centre whose instances are to stand back; empty for none
    * @param now when it is sent
-   * @param begun whether this leader has given leases to workers
+   * @param begun whether this leader has granted leases to workers
    */
   Payload free(String cutOff, Moment now, boolean begun) {
     long own = begun ? LeaderLease.GRANT_MILLIS : 0;
@@ -97,7 +99,7 @@
     return Payload.of(LeaseText.free(cutOff, grant, clock.latest(now)));
   }
 
-  /** Returns how long leases may still last that leaders before this one gave. */
+  /** Returns how long leases granted by earlier leaders may still last. */
   private long remainingInheritedMillis(Moment now) {
     return inheritedLeaseEndMillis - now.mono();
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseText.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseText.java
@@ -4,26 +4,32 @@
 import java.util.regex.Pattern;
 
 /**
- * The text of the lease row in the store: words parted by spaces. A holder writes its name, a
- * number that changes with each renewal, how long its grants last and when it wrote; a lease that
- * was given back begins with {@value #FREE} and may name a data centre.
+ * The text of the lease row in the store: words separated by spaces. A holder writes its name, a
+ * number that changes with each renewal, how long its grants last and when it wrote the row; the
+ * text of a released lease begins with {@value #FREE} and may name a data centre.
  *
  * @param holder the incarnation that holds the lease; empty when nobody does
- * @param cutOff the data centre whose leader gave the lease back because it was cut off, or empty
- * @param grantMillis how long after the holder's last renewal the leases may last that it gave to
- *     workers
- * @param sentMillis a time on the store's clock at which the row had been sent already; 0 when the
+ * @param cutOff the data centre whose leader released the lease because it was cut off, or empty
+ * @param grantMillis how long after the holder's last renewal the leases that it granted to workers
+ *     may last
+ * @param sentMillis a time on the store's clock at which the row had already been sent; 0 when the
  *     writer did not know it
  */
 record LeaseText(String holder, String cutOff, long grantMillis, long sentMillis) {
 
-  /** What a row holds that does not say how long its writer's grants last: 5.5 s and 9 s of old. */
+  /**
+   * Grant assumed for a row that does not state one, in milliseconds: the sum of the 5.5 s and 9 s
+   * that applied in older versions.
+   */
   static final long DEFAULT_GRANT_MILLIS = 14_500;
 
   private static final String FREE = "free";
   private static final String NO_DATA_CENTRE = "-";
 
-  /** Holds the lease that cannot be read: taken for nobody, it would lose the lead at once. */
+  /**
+   * Holder of a lease whose text is unreadable. If such a lease counted as free, its holder would
+   * lose leadership at once.
+   */
   private static final String UNKNOWN_HOLDER = "?";
 
   private static final int GRANT = 2;
@@ -41,7 +47,10 @@
         number(words, SENT, 0));
   }
 
-  /** A text of another version may say more or less; the longest wait is always safe. */
+  /**
+   * Parses the number at an index. A text of another version may have fewer or more words; the
+   * default is the longest wait, which is always safe.
+   */
   private static long number(String[] words, int index, long defaultValue) {
     boolean stated = words.length > index && NUMBER.matcher(words[index]).matches();
     return stated ? Long.parseLong(words[index]) : defaultValue;
@@ -52,13 +61,13 @@
     return holder + " " + renewals + " " + grantMillis + " " + sentMillis.orElse(0);
   }
 
-  /** Returns the text of a lease given back, of no data centre or of one that was cut off. */
+  /** Returns the text of a released lease, with or without a data centre that was cut off. */
   static String free(String cutOff, long grantMillis, OptionalLong sentMillis) {
     String where = cutOff.isEmpty() ? NO_DATA_CENTRE : cutOff;
     return FREE + " " + where + " " + grantMillis + " " + sentMillis.orElse(0);
   }
 
-  /** Returns whether nobody holds the lease; a holder's name may begin with the same word. */
+  /** Returns whether nobody holds the lease; the name of a holder may begin with the same word. */
   boolean isFree() {
     return holder.isEmpty();
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LoopTimers.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LoopTimers.java
@@ -5,12 +5,12 @@
 import org.cottontack.core.Moment;
 import org.cottontack.daemon.Engine;
 
-/** The clock and timers of a Netty event loop. */
+/** Timers that run on a Netty event loop. */
 public final class LoopTimers implements Timers {
 
   private final EventLoop loop;
 
-  /** Uses an event loop. */
+  /** Creates timers that run on the given event loop. */
   public LoopTimers(EventLoop loop) {
     this.loop = loop;
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/PlatformAdapter.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/PlatformAdapter.java
@@ -5,21 +5,21 @@
 import org.cottontack.adapters.http.HttpCall;
 import org.cottontack.adapters.http.HttpClient;
 
-/** Translates between a platform and an entry instance for jobs. */
+/** Adapts a platform to the interfaces that an entry instance for jobs uses. */
 public interface PlatformAdapter {
 
   /** Returns the platform's store. */
   TableStore store(HttpClient http, Address address);
 
-  /** Returns where the table comes from. */
+  /** Returns the source of the table of rules. */
   RuleSource rules(TableStore store, Timers timers);
 
   /** Returns the list of workers. */
   WorkerRegistry registry(TableStore store, Timers timers);
 
-  /** Returns what carries orders to workers. */
+  /** Returns the client that sends orders to workers. */
   WorkerClient workers(HttpClient http);
 
-  /** Returns what answers callers. */
+  /** Returns the handler of calls from callers. */
   Consumer<HttpCall> callers(JobEntry entry);
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
@@ -10,20 +10,20 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * The progress of jobs in the store, as one leader reads and writes it. Each write names the
- * version of a fence row and changes that row, so the writes of an earlier leader, and late copies
- * of our own, conflict. Confined to the event loop.
+ * Reads and writes the progress of jobs in the store for one leader. Each write names the version
+ * of a fence row and changes that row, so writes of an earlier leader, and late duplicates of our
+ * own, conflict. Confined to the event loop.
  */
 final class ProgressStore {
 
-  /** Longest wait for one answer, in milliseconds: covers a store that is 60 times slower. */
+  /** Longest timeout of one call, in milliseconds: enough for a store that is 60 times slower. */
   private static final long MAX_TIMEOUT_MILLIS = 2_400;
 
   /** Pause after a call that failed, in milliseconds. */
   private static final long PAUSE_MILLIS = 100;
 
   /**
-   * What a new leader reads.
+   * The progress that a new leader reads.
    *
    * @param jobs stored progress of each job that has any
    * @param learned what earlier leaders have learned; empty when there is nothing
@@ -39,7 +39,7 @@
   private long saves;
 
   /**
-   * Creates one that does nothing yet.
+   * Creates the progress store of one leader; {@link #takeOver} begins to use it.
    *
    * @param epoch the leader's epoch
    * @param onDeposed called with the reason when a newer leader is found
@@ -51,12 +51,12 @@
     this.onDeposed = onDeposed;
   }
 
-  /** Ends; nothing is told afterwards. */
+  /** Stops; no callback is called afterwards. */
   void stop() {
     stopped = true;
   }
 
-  /** Reads all progress and bars earlier leaders from writing more. */
+  /** Reads all progress and prevents earlier leaders from writing more. */
   void takeOver(Consumer<Found> done) {
     if (stopped) {
       return;
@@ -75,8 +75,9 @@
   }
 
   /**
-   * Takes the fence row. Each write of an earlier leader changes that row, so the progress read
-   * before is complete if the row is unchanged, and from now on their writes conflict.
+   * Writes the fence row. Each write of an earlier leader changes that row. So if the row is
+   * unchanged the progress read before is complete, and from now on writes of earlier leaders
+   * conflict.
    */
   private void claim(List<Row> rows, Consumer<Found> done) {
     Optional<Row> held = rows.stream().filter(row -> row.at().equals(JobTables.FENCE)).findFirst();
@@ -118,7 +119,7 @@
     return epoch + " " + saves;
   }
 
-  /** Writes progress; there is at most one save under way. */
+  /** Writes progress; the caller has at most one save in flight. */
   void save(JobEffect.SaveProgress save, Runnable onSaved) {
     saves++;
     Map<RowKey, Payload> writes = new HashMap<>();
@@ -133,8 +134,9 @@
   }
 
   /**
-   * Sends the same change until it is certainly stored. Without the fence row's version an
-   * unanswered copy could be carried out after newer writes and bring an old state back.
+   * Sends the same transaction until it is certainly stored. Without the version of the fence row a
+   * duplicate of an unanswered transaction could be carried out after newer writes and restore an
+   * old state.
    */
   private void commit(Transaction transaction, long timeoutMillis, Runnable onSaved) {
     if (!stopped) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
@@ -6,30 +6,30 @@
 import org.cottontack.core.id.DataCentreId;
 import org.cottontack.core.job.JobTable;
 
-/** Where the table of rules and the operator's requests come from. */
+/** Source of the table of rules and of the requests of the operator. */
 public interface RuleSource {
 
   /**
-   * Begins to tell what the operator wants, as it becomes known.
+   * Starts to report the table and the evacuations, each when it becomes known.
    *
    * @param tables gets each version of the table
-   * @param evacuations gets all data centres whose workers are to get nothing new, whenever there
-   *     is one more or less
+   * @param evacuations gets the set of all evacuated data centres, whose workers are to get no new
+   *     work, whenever one is added or removed
    */
   void start(Consumer<JobTable> tables, Consumer<Set<DataCentreId>> evacuations);
 
-  /** Returns when the source last answered, on our steady clock in milliseconds. */
+  /** Returns when the source last answered, on our monotonic clock in milliseconds. */
   long lastContactMillis();
 
   /**
-   * Returns when the question was sent that the source answered last: all that the operator wanted
-   * by then has been told.
+   * Returns when the request was sent that the source answered last: everything that the operator
+   * had requested by then has been reported.
    */
   Moment lastRequestSent();
 
   /**
-   * Asks the source again at once where the time of day was set forward since it was asked last:
-   * that answer will be old by its date.
+   * Sends a new request at once if the wall clock was set forward since the last request was sent:
+   * by the wall clock its response would be stale.
    */
   void refreshAfterClockJump();
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
@@ -5,9 +5,9 @@
 import org.cottontack.core.Moment;
 
 /**
- * Decides by the age of news whether work may start, and until when. The load: a leader is starved,
- * paused or cut off from a table for seconds, and handles answers that say what was true before.
- * Confined to the event loop.
+ * Decides from the age of the last updates whether work may start, and until when. It guards
+ * against a leader that lacks processor time, is suspended or is cut off from a table for seconds,
+ * and then handles responses that describe an earlier state. Confined to the event loop.
  */
 final class StartGate {
 
@@ -17,24 +17,27 @@
   /**
    * Creates a gate.
    *
-   * @param requestTimes when the question was sent that brought the last news of each kind
+   * @param requestTimes when the request was sent that returned the last update of each kind
    */
   StartGate(Timers timers, Map<FreshnessLimit, Supplier<Moment>> requestTimes) {
     this.timers = timers;
     this.requestTimes = Map.copyOf(requestTimes);
   }
 
-  /** Returns how old the last news of a kind is, in milliseconds. */
+  /** Returns the age of the last update of a kind, in milliseconds. */
   long ageMillis(FreshnessLimit limit) {
     return timers.now().longestSince(requestTimes.get(limit).get());
   }
 
-  /** Returns whether an order to start may leave now. */
+  /** Returns whether a start order may be sent now. */
   boolean open() {
     return requestTimes.keySet().stream().allMatch(limit -> limit.allows(ageMillis(limit)));
   }
 
-  /** Returns until when work may begin by the news that there is, on our steady clock. */
+  /**
+   * Returns the time on our monotonic clock, in milliseconds, until which work may begin according
+   * to the last updates.
+   */
   long startDeadlineMillis() {
     long remaining =
         requestTimes.keySet().stream()
--- a/daemon/src/main/java/org/cottontack/daemon/job/StoreClock.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StoreClock.java
@@ -4,8 +4,8 @@
 import org.cottontack.core.Moment;
 
 /**
- * The store's steady clock as far as answers tell it: an answer gives the clock's time at some
- * moment between question and answer. All instances can compare times on it.
+ * Estimates the store's monotonic clock from its responses: a response states the clock's time at
+ * some moment between request and response. All instances can compare times on this clock.
  */
 final class StoreClock {
 
@@ -14,11 +14,11 @@
   private long minOffsetMillis;
 
   /**
-   * Takes in an answer.
+   * Updates the bounds from a response.
    *
-   * @param requestSent when the question was sent
-   * @param received when the answer came
-   * @param storeMillis what it says, in milliseconds; 0 when it says nothing
+   * @param requestSent when the request was sent
+   * @param received when the response was received
+   * @param storeMillis the stated time, in milliseconds; 0 when the response states none
    */
   void update(Moment requestSent, Moment received, long storeMillis) {
     if (storeMillis == 0) {
@@ -29,7 +29,9 @@
     this.lastRequestSent = requestSent;
   }
 
-  /** Returns the latest time that the store's clock may show now; nothing before an answer. */
+  /**
+   * Returns the latest time that the store's clock may show now; empty before the first response.
+   */
   OptionalLong latest(Moment now) {
     return lastRequestSent == null
         ? OptionalLong.empty()
@@ -37,9 +39,9 @@
   }
 
   /**
-   * Returns the time on our steady clock by which the store's clock certainly shows a time; nothing
-   * before an answer. While an instance is suspended its own clock stands still, which only makes
-   * the result later than need be.
+   * Returns the time on our monotonic clock by which the store's clock has certainly reached the
+   * given time; empty before the first response. While an instance is suspended its own clock does
+   * not advance, which only makes the result later than necessary.
    */
   OptionalLong reached(long storeMillis) {
     return lastRequestSent == null
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
@@ -13,28 +13,33 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * Keeps up with a table: reads all of it, then waits for changes, and reads all of it again
- * whenever the store has forgotten some. Every row reaches the listener in the order of its
- * versions, and removals that happened unseen are told too. A row that the listener cannot take is
- * logged and passed over. Confined to the event loop.
+ * Watches a table: reads all of it, then waits for changes, and reads all of it again whenever the
+ * store has discarded some changes. The listener receives every row in the order of its versions,
+ * including removals that happened while no changes were received. A row that makes the listener
+ * throw is logged and skipped. Confined to the event loop.
  */
 public final class TableWatcher {
 
   private static final Logger LOG = LogManager.getLogger(TableWatcher.class);
 
-  /** Longest wait for news, in milliseconds: bounds how long a dead connection goes unnoticed. */
+  /**
+   * Longest wait for changes, in milliseconds: limits how long a dead connection goes unnoticed.
+   */
   private static final long WAIT_MILLIS = 1_000;
 
-  /** Pause after a call that failed, in milliseconds: an outage costs few calls this way. */
+  /** Pause after a call that failed, in milliseconds, so that an outage causes few calls. */
   private static final long PAUSE_MILLIS = 150;
 
-  /** Wait where an answer is wanted at once, in milliseconds; the store may not know one of 0. */
+  /**
+   * Wait of a request that needs an immediate response, in milliseconds; the store may not support
+   * a wait of 0.
+   */
   private static final long MIN_WAIT_MILLIS = 1;
 
-  /** Stands for a time long ago, where there was no answer yet. */
+  /** A time in the distant past, used before the first response. */
   public static final Moment NEVER = new Moment(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
-  /** One call for news, told apart from those given up for it. */
+  /** One request for changes; the number distinguishes it from requests that it has replaced. */
   private record Request(Moment sent, long number) {}
 
   private final TableStore store;
@@ -58,11 +63,11 @@
   private boolean current;
 
   /**
-   * Creates a follower that does nothing yet.
+   * Creates a watcher; {@link #start} begins to read.
    *
    * @param parts the partitions to read
    * @param listener gets each row that is new, changed or removed
-   * @param onCurrent called after the first complete reading of the table
+   * @param onCurrent called after the first complete scan of the table
    */
   public TableWatcher(
       TableStore store,
@@ -80,10 +85,10 @@
   }
 
   /**
-   * Has changes told in batches. The load: hundreds of workers write their entries each second, and
-   * a feed that is asked again at once answers for each of them.
+   * Receives changes in batches. Hundreds of workers write their entries each second, and a store
+   * that is asked again at once would send a response for each entry.
    *
-   * @param millis least time from an answer with changes to the next question, in milliseconds
+   * @param millis minimum time from a response with changes to the next request, in milliseconds
    * @return this
    */
   public TableWatcher withMinInterval(long millis) {
@@ -92,8 +97,9 @@
   }
 
   /**
-   * Has the news kept newer than usual: the store is asked again after a shorter wait, and with
-   * none where the news is old already, after a reading of the whole table and after a failure.
+   * Keeps the known rows fresher than usual: each request waits for a shorter time, and a request
+   * does not wait at all if the last update is already stale, after a scan of the whole table, and
+   * after a failure.
    *
    * @param millis longest wait for a change, in milliseconds
    * @return this
@@ -104,35 +110,35 @@
     return this;
   }
 
-  /** Begins to read. */
+  /** Starts to read the table. */
   public void start() {
     scan(timers.now(), new ArrayList<>(), Long.MAX_VALUE, 0);
   }
 
-  /** Ends; nothing is told afterwards. */
+  /** Stops; the listener is not called afterwards. */
   public void stop() {
     stopped = true;
   }
 
-  /** Returns when the store last answered, on our steady clock. */
+  /** Returns when the store last answered, on our monotonic clock in milliseconds. */
   public long lastContactMillis() {
     return lastResponseReceived.mono();
   }
 
   /**
-   * Returns when the question was sent that the store answered last: every change that was in the
-   * store by then has been told.
+   * Returns when the request was sent that the store answered last: every change that was stored by
+   * then has been delivered.
    */
   public Moment lastRequestSent() {
     return lastRequestSent;
   }
 
-  /** Returns when the question was sent whose answer is being told, or was told last. */
+  /** Returns when the request was sent whose response is being delivered or was delivered last. */
   public Moment deliveredRequestSent() {
     return deliveredRequestSent;
   }
 
-  /** Returns when the store's last answer was taken in. */
+  /** Returns when the store's last response was received. */
   public Moment lastResponseReceived() {
     return lastResponseReceived;
   }
@@ -189,14 +195,14 @@
     }
   }
 
-  /** Returns whether what was asked for then is older than a wait for it explains. */
+  /** Returns whether a response to a request sent then is older than the wait explains. */
   private boolean isStale(Moment sent) {
     return timers.now().longestSince(sent) > 2 * waitMillis;
   }
 
   /**
-   * Asks again without a wait where the time of day was set forward, or the process was suspended,
-   * since the question under way was sent: its answer will be old by its date.
+   * Sends a new request without a wait if the wall clock was set forward or the process was
+   * suspended since the open request was sent: by the wall clock its response would be stale.
    */
   public void refreshAfterClockJump() {
     if (openRequest != null && clockJumped(openRequest.sent())) {
@@ -229,7 +235,8 @@
         }
       }
       case FORGOTTEN -> {
-        LOG.info("the store forgot changes of {}; reading all of it again", table);
+        LOG.info(
+            "the store has discarded changes of table {}; reading the whole table again", table);
         start();
       }
       case FAILED -> {
@@ -253,10 +260,10 @@
     try {
       listener.accept(row);
     } catch (RuntimeException e) {
-      // Others write rows as well. One that the listener chokes on would end the chain of calls
-      // here, and the process would miss every later change. The row counts as told: it is taken
-      // up again when it changes, and logged once.
-      LOG.error("passing over a row that cannot be taken: {}", row.at(), e);
+      // Other programs write rows as well. An exception of the listener would end the chain of
+      // calls here, and the process would miss every later change. The row counts as delivered: it
+      // is delivered again when it changes, and logged once.
+      LOG.error("skipping row {}: the listener threw an exception", row.at(), e);
     }
   }
 
@@ -265,14 +272,14 @@
     lastResponseReceived = timers.now();
     if (failing) {
       failing = false;
-      LOG.info("the store answers again about {}", table);
+      LOG.info("the store answers again for table {}", table);
     }
   }
 
   private void recordFailure(String call) {
     if (!failing) {
       failing = true;
-      LOG.warn("the store does not answer about {} ({})", table, call);
+      LOG.warn("the store does not answer for table {} (call: {})", table, call);
     }
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Timers.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Timers.java
@@ -2,16 +2,16 @@
 
 import org.cottontack.core.Moment;
 
-/** A clock and timers; all tasks run one after the other on one thread. */
+/** A clock and timers; all tasks run one after the other on a single thread. */
 public interface Timers {
 
-  /** Returns the time now. */
+  /** Returns the current time. */
   Moment now();
 
-  /** Runs something later, once. */
+  /** Runs a task once, after a delay. */
   void after(long millis, Runnable task);
 
-  /** Runs something soon. */
+  /** Runs a task as soon as possible, after the current one. */
   default void soon(Runnable task) {
     after(0, task);
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerClient.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerClient.java
@@ -8,31 +8,31 @@
 import org.cottontack.core.job.WorkerReport;
 
 /**
- * Orders to workers. Each order carries a fencing token of the leader's epoch; a worker does
- * nothing for a lower one than it has seen. Each consumer gets exactly one answer, on the event
- * loop.
+ * Sends orders to workers. Each order carries a fencing token with the epoch of the leader; a
+ * worker refuses orders with a lower epoch than it has seen. Each consumer receives exactly one
+ * result, on the event loop.
  */
 public interface WorkerClient {
 
-  /** Starts a run; {@code allowed} is asked again right before the order leaves. */
+  /** Starts a run; {@code allowed} is checked again right before the order is sent. */
   void start(
       JobEffect.StartRun start, long epoch, BooleanSupplier allowed, Consumer<StartResult> done);
 
-  /** Stops a run; the consumer gets whether the worker answered that it did. */
+  /** Stops a run; the consumer receives whether the worker confirmed it. */
   void stop(JobEffect.StopRun stop, long epoch, Consumer<Boolean> done);
 
-  /** Looks at a worker and renews the lease of what runs there. */
+  /** Polls a worker and renews the lease of its runs. */
   void poll(
       JobEffect.LookAtWorker poll, long epoch, BooleanSupplier allowed, Consumer<PollResult> done);
 
-  /** Sets the pace of a run; the consumer gets whether the worker answered that it did. */
+  /** Sets the pace of a run; the consumer receives whether the worker confirmed it. */
   void pace(JobEffect.PaceRun pace, long epoch, Consumer<Boolean> done);
 
   /**
-   * The answer to a look.
+   * The result of a poll.
    *
-   * @param outcome how it went
-   * @param report what the worker says, empty unless it answered
+   * @param outcome how the poll ended
+   * @param report the report of the worker; empty unless it answered
    */
   record PollResult(Outcome outcome, WorkerReport report) {
 
@@ -40,19 +40,19 @@
         new WorkerReport(
             WorkerIncarnation.UNKNOWN_START_TIME, 0, java.util.List.of(), java.util.List.of());
 
-    /** How a look goes. */
+    /** Outcomes of a poll. */
     public enum Outcome {
       /** The worker answered. */
       ANSWERED,
-      /** No answer. */
+      /** The worker did not answer. */
       SILENT,
-      /** Another life of the worker answered. */
+      /** Another incarnation of the worker answered. */
       REBORN,
       /** The worker has seen a newer leader. */
       FENCED
     }
 
-    /** Returns a look without a report. */
+    /** Returns a result without a report. */
     public static PollResult of(Outcome outcome) {
       return new PollResult(outcome, NOTHING);
     }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
@@ -7,19 +7,19 @@
 public interface WorkerRegistry {
 
   /**
-   * Least time between two readings of what changed in the list, in milliseconds: news that a
-   * worker leaves may be seconds old.
+   * Minimum time between two requests for changes of the list, in milliseconds. This delay is
+   * acceptable because an update that a worker leaves may be seconds old.
    */
   long BATCH_MILLIS = 100;
 
   /**
-   * Returns a follower of the list that is not started yet.
+   * Returns a watcher of the list that is not started yet.
    *
    * @param listener gets {@link JobEvent.WorkerSeen} and {@link JobEvent.WorkerUnlisted}
-   * @param onCurrent called after the first complete reading
+   * @param onCurrent called after the first complete scan
    */
   TableWatcher watcher(Consumer<JobEvent> listener, Runnable onCurrent);
 
-  /** Tells the list as it was last read. */
+  /** Passes the last known list to the listener. */
   void replay(Consumer<JobEvent> listener);
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/ElectionSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/ElectionSimulation.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.cottontack.core.job.Capacity;
 
-/** Candidates for the lead that share a store, in virtual time. */
+/** Candidates for leadership that share a store, in virtual time. */
 final class ElectionSimulation {
 
   static final Capacity SMALL = new Capacity(360, 10_000);
@@ -13,7 +13,7 @@
   final VirtualTimers time = new VirtualTimers();
   final FakeTableStore store = new FakeTableStore(time);
 
-  /** One instance that stands for election. */
+  /** One candidate instance. */
   static final class Candidate implements Leadership.Listener {
     final VirtualTimers.View timers;
     final Leadership leadership;
--- a/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
@@ -11,15 +11,18 @@
 import org.cottontack.daemon.job.ElectionSimulation.Candidate;
 import org.testng.annotations.Test;
 
-/** Tests of how long a leader waits for the leases that leaders before it gave to workers. */
+/** Tests of how long a leader waits for worker leases that earlier leaders granted. */
 public class InheritedLeasesTest {
 
-  /** How long a leader waits for the leases that leaders before it gave to workers. */
+  /** Waits for worker leases that earlier leaders granted. */
   public static class Inheriting {
 
     private static final RowKey LEASE = new RowKey(JobTables.LEADER, "leader", "lease");
 
-    /** The last renewal came at most 0.5 s before the death, and news of it 20 ms later. */
+    /**
+     * Checks that leases count from the last renewal, which was sent at most 0.5 s before the
+     * death; watchers see it 20 ms later.
+     */
     private static void assertCountedFrom(long death, Candidate next) {
       assertTrue(next.leadership.leading());
       long after = next.leadership.inheritedLeaseEndMillis() - death;
@@ -38,9 +41,10 @@
     }
 
     /**
-     * The leader is killed with tasks on a worker that nobody reaches any more. The next one counts
-     * the longest lease that this worker may hold from the dead leader's last renewal: counted from
-     * the beginning of its own term, lasting tasks stayed away for 17 s.
+     * The leader is killed with tasks on a worker that nobody can reach any more. The next leader
+     * must count the longest lease that this worker may hold from the last renewal of the dead
+     * leader. When the lease was counted from the beginning of the new term, long-running tasks
+     * were absent for 17 s.
      */
     @Test
     public void countsInheritedLeasesFromTheLastRenewal() {
@@ -56,8 +60,9 @@
     }
 
     /**
-     * All instances are killed, and one is back 3 s later. It counts inherited leases from the dead
-     * leader's last renewal, by the store's clock, and not from its own first look.
+     * All instances are killed, and one restarts 3 s later. It must count inherited leases from the
+     * last renewal of the dead leader, by the store's clock, and not from its own first read of the
+     * row.
      */
     @Test
     public void countsInheritedLeasesFromBeforeItsOwnStart() {
@@ -73,8 +78,8 @@
     }
 
     /**
-     * A leader of an older version, whose leases last longer and whose row does not say so, is
-     * replaced. Its successor and the next one wait for its leases all the same.
+     * A leader of an older version, whose leases last longer and whose row does not state this, is
+     * replaced. Its successor and the next leader must still wait for its leases.
      */
     @Test
     public void waitsForLongerLeasesOfAnOlderVersion() {
@@ -100,9 +105,9 @@
     }
 
     /**
-     * A renewal gets no answer and is carried out 3 s later, after newer ones. Then the leader is
-     * killed. The row says what that old renewal said; the next leader must not take it for the
-     * last one, or tasks on a worker that it does not reach would run twice for 2.5 s.
+     * A renewal gets no response and is carried out 3 s later, after newer ones. Then the leader is
+     * killed. The row states the time of that old renewal; if the next leader took it for the last
+     * one, tasks on a worker that it does not reach would run twice for 2.5 s.
      */
     @Test
     public void lateRenewalsStateNoOutdatedTime() {
@@ -132,9 +137,9 @@
     }
 
     /**
-     * A takeover gets no answer; later attempts at the same epoch are refused, and the last finds
-     * the first in the store, carried out 3 s late. The lease counts from the first: counted from
-     * the last it would outlive what the row says by 3 s.
+     * A takeover gets no response; later attempts at the same epoch are refused, and the last one
+     * finds the first in the store, carried out 3 s late. The lease must count from the first
+     * attempt. If it counted from the last one, it would last 3 s longer than the row states.
      */
     @Test
     public void lateTakeoversCountFromTheFirstAttempt() {
@@ -165,9 +170,9 @@
     }
 
     /**
-     * A large leader dies together with a worker; a small one takes over and makes way to the large
-     * one's next life before it has begun. It has given no leases, so the wait for the lost worker
-     * goes on as it was.
+     * A large leader dies together with a worker; a small one takes over and yields to the next
+     * incarnation of the large one before it has begun. The small leader has granted no leases, so
+     * the wait for the lost worker must go on unchanged.
      */
     @Test
     public void yieldingBeforeBeginningKeepsTheWait() {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
@@ -12,25 +12,25 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Tests of what a leader starts while news of the store reaches it late. */
+/** Tests of what a leader starts while updates from the store reach it late. */
 public class LateUpdatesTest {
 
   private static final int SEEDS = 100;
 
-  /** How long after a cancellation something may start, in milliseconds. */
+  /** How long after a cancellation a task may start, in milliseconds. */
   private static final long CANCEL_MILLIS = 3_000;
 
-  /** How long it takes until an answer counts as lost, and longer, in milliseconds. */
+  /** A delay after which a response counts as lost, in milliseconds. */
   private static final long LOST_MILLIS = 60_000;
 
-  /** What is late in one case. */
+  /** The fault of one case. */
   private interface Fault {
 
-    /** Arranges for it, and returns in how many milliseconds it begins. */
+    /** Sets up the fault, and returns in how many milliseconds it begins. */
     long begin(StartsSimulation simulation, Random random);
   }
 
-  /** Checks that nothing starts too long after a row is in the store, whatever the seed. */
+  /** Checks for all seeds that nothing starts later than the limit after a row is stored. */
   private static void check(RowKey row, long boundMillis, Fault fault) {
     List<String> lateStarts =
         IntStream.range(0, SEEDS)
@@ -52,7 +52,10 @@
     return after > boundMillis ? "seed " + seed + ": " + after + " ms after" : "";
   }
 
-  /** Has one answer of a kind held from a time on, and later ones lost for five seconds more. */
+  /**
+   * Delays the first response to a kind of call from a given time on, and loses later ones for five
+   * seconds more.
+   */
   private static void delayResponse(
       StartsSimulation simulation, String call, long fromMillis, long delayMillis) {
     long from = simulation.time.now() + fromMillis;
@@ -70,7 +73,7 @@
         };
   }
 
-  /** One answer lies on its way, and the connection is silent afterwards. */
+  /** Delays one response, after which the connection is silent. */
   private static long delayOneResponse(StartsSimulation simulation, String table, Random random) {
     long begins = random.nextInt(1_000);
     simulation.writeOtherCancellations(20 + random.nextInt(300), 3_000);
@@ -78,7 +81,7 @@
     return begins;
   }
 
-  /** Another process takes over; each page of a table takes long, and news of it is lost. */
+  /** Restarts the process; each page of a table takes long, and its changes are lost. */
   private static long readTablesSlowly(StartsSimulation simulation, String table, Random random) {
     long page = random.nextInt(1_400);
     long until = simulation.time.now() + 9_000;
@@ -91,7 +94,7 @@
     return random.nextInt(4_000);
   }
 
-  /** The process stands still, with or without its steady clock, and is cut off afterwards. */
+  /** Suspends the process, with or without its monotonic clock, and cuts it off afterwards. */
   private static long pauseProcess(StartsSimulation simulation, String table, Random random) {
     long begins = random.nextInt(1_000);
     long pause = 500L + random.nextInt(5_000);
@@ -102,7 +105,7 @@
     return begins + random.nextInt((int) pause);
   }
 
-  /** The time of day is set forward or back, and answers are late afterwards. */
+  /** Sets the wall clock forward or back, and delays responses afterwards. */
   private static long jumpClock(StartsSimulation simulation, String table, Random random) {
     long begins = random.nextInt(1_000);
     long jump = random.nextInt(12_000) - 6_000L;
@@ -113,14 +116,14 @@
     return begins;
   }
 
-  /** Jobs that are cancelled while the news of it comes late. */
+  /** Cancellations that are read late. */
   public static class Cancelling {
 
     private static void check(Fault fault) {
       LateUpdatesTest.check(StartsSimulation.CANCEL, CANCEL_MILLIS, fault);
     }
 
-    /** Guards against starts that rely on an answer which lay on its way for a second. */
+    /** Guards against starts that rely on a response which was delayed for a second. */
     @Test
     public void startsNothingLateAfterDelayedResponses() {
       check((simulation, random) -> delayOneResponse(simulation, JobTables.CANCELS, random));
@@ -132,30 +135,30 @@
       check((simulation, random) -> readTablesSlowly(simulation, JobTables.CANCELS, random));
     }
 
-    /** Guards against starts that rely on what was heard before the process stood still. */
+    /** Guards against starts that rely on updates received before the process was suspended. */
     @Test
     public void startsNothingLateAfterPauses() {
       check((simulation, random) -> pauseProcess(simulation, JobTables.CANCELS, random));
     }
 
-    /** Guards against starts that rely on news whose date the time of day has left behind. */
+    /** Guards against starts that rely on updates that are stale by the new wall clock. */
     @Test
     public void startsNothingLateAfterClockJumps() {
       check((simulation, random) -> jumpClock(simulation, JobTables.CANCELS, random));
     }
   }
 
-  /** Data centres that are to be emptied while the news of it comes late. */
+  /** Evacuations that are read late. */
   public static class Evacuating {
 
-    /** How long after the request something may start there, in milliseconds. */
+    /** How long after the request a task may start there, in milliseconds. */
     private static final long EVACUATE_MILLIS = 5_000;
 
     private static void check(Fault fault) {
       LateUpdatesTest.check(StartsSimulation.EVACUATION, EVACUATE_MILLIS, fault);
     }
 
-    /** Guards against starts that rely on an answer which lay on its way for a second. */
+    /** Guards against starts that rely on a response which was delayed for a second. */
     @Test
     public void startsNothingLateAfterDelayedResponses() {
       check((simulation, random) -> delayOneResponse(simulation, "op", random));
@@ -167,19 +170,19 @@
       check((simulation, random) -> readTablesSlowly(simulation, "op", random));
     }
 
-    /** Guards against starts that rely on what was heard before the process stood still. */
+    /** Guards against starts that rely on updates received before the process was suspended. */
     @Test
     public void startsNothingLateAfterPauses() {
       check((simulation, random) -> pauseProcess(simulation, "op", random));
     }
 
-    /** Guards against starts that rely on news whose date the time of day has left behind. */
+    /** Guards against starts that rely on updates that are stale by the new wall clock. */
     @Test
     public void startsNothingLateAfterClockJumps() {
       check((simulation, random) -> jumpClock(simulation, "op", random));
     }
 
-    /** Guards against orders that are carried out long after they left. */
+    /** Guards against orders that are carried out long after they were sent. */
     @Test
     public void startsNothingLateByDelayedOrders() {
       check(
@@ -191,17 +194,17 @@
     }
   }
 
-  /** Workers that are about to leave while the news of it comes late. */
+  /** Announcements of leaving workers that are read late. */
   public static class Draining {
 
-    /** How long after a worker said so something may start there, in milliseconds. */
+    /** How long after the announcement of a worker a task may start there, in milliseconds. */
     private static final long DRAIN_MILLIS = 2_000;
 
     private static void check(Fault fault) {
       LateUpdatesTest.check(StartsSimulation.DRAIN, DRAIN_MILLIS, fault);
     }
 
-    /** Guards against starts that rely on an answer which lay on its way for a second. */
+    /** Guards against starts that rely on a response which was delayed for a second. */
     @Test
     public void startsNothingLateAfterDelayedResponses() {
       check(
@@ -217,14 +220,14 @@
               readTablesSlowly(simulation, StartsSimulation.DRAIN.table(), random));
     }
 
-    /** Guards against starts that rely on what was heard before the process stood still. */
+    /** Guards against starts that rely on updates received before the process was suspended. */
     @Test
     public void startsNothingLateAfterPauses() {
       check(
           (simulation, random) -> pauseProcess(simulation, StartsSimulation.DRAIN.table(), random));
     }
 
-    /** Guards against orders that are carried out long after they left. */
+    /** Guards against orders that are carried out long after they were sent. */
     @Test
     public void startsNothingLateByDelayedOrders() {
       check(
@@ -236,13 +239,16 @@
     }
   }
 
-  /** Orders that are late, though the news is not. */
+  /** Late orders with timely updates. */
   public static class Orders {
 
-    /** Longest time until a cancellation is read where nothing is late, in milliseconds. */
+    /** Longest time until a cancellation is read without any delay, in milliseconds. */
     private static final long READ_MILLIS = 100;
 
-    /** Guards against orders that are carried out long after they left, and before their stop. */
+    /**
+     * Guards against orders that are carried out long after they were sent, and before the stop of
+     * their run.
+     */
     @Test
     public void startsNothingLateByDelayedOrders() {
       LateUpdatesTest.check(
@@ -255,7 +261,10 @@
           });
     }
 
-    /** Guards against orders that wait for their connection while the stop of their run is lost. */
+    /**
+     * Guards against sending orders that waited for their connection while the stop of their run
+     * was lost.
+     */
     @Test
     public void sendsNothingThatWaitedForItsConnection() {
       LateUpdatesTest.check(
@@ -269,14 +278,14 @@
     }
   }
 
-  /** What is not to be held back by any of this. */
+  /** Starts that the limits must not delay. */
   public static class WithoutDelay {
 
-    /** How far the time of day is set, in milliseconds. */
+    /** Offsets by which the wall clock is set, in milliseconds. */
     private static final List<Long> CLOCK_JUMPS =
         List.of(-5_000L, -1_500L, 0L, 500L, 1_000L, 1_500L, 2_000L, 3_000L, 5_000L, 3_600_000L);
 
-    /** Longest time without a start, in milliseconds: a renewal, and what a start takes. */
+    /** Longest time without a start, in milliseconds: a renewal, and the duration of a start. */
     private static final long MAX_PAUSE_MILLIS = 570;
 
     private static StartsSimulation runs(long readMillis, long transactionMillis) {
@@ -287,7 +296,7 @@
       return simulation;
     }
 
-    /** Guards against starts that wait for news although the store answers at once. */
+    /** Guards against starts that wait for updates although the store answers at once. */
     @Test
     public void delaysNoStart() {
       StartsSimulation simulation = runs(4, 10);
@@ -295,7 +304,7 @@
       assertTrue(simulation.starts.size() > 100, "starts: " + simulation.starts.size());
     }
 
-    /** Guards against starts that wait for news whenever the store is slow. */
+    /** Guards against starts that wait for updates whenever the store is slow. */
     @Test
     public void delaysNoStartAtSlowStores() {
       StartsSimulation simulation = runs(240, 500);
@@ -312,13 +321,13 @@
       assertEquals(simulation.notSent, 0);
     }
 
-    /** Guards against starts that wait for news of cancellations after one lost answer. */
+    /** Guards against starts that wait for cancellation updates after one lost response. */
     @Test
     public void delaysNoStartAfterOneLostResponse() {
       loseOne(JobTables.CANCELS, 1_000);
     }
 
-    /** Guards against starts that stop for long since the time of day was set. */
+    /** Guards against a long time without starts after the wall clock was set. */
     @Test
     public void pausesBrieflyAfterClockJumps() {
       Map<Long, Long> pauses =
@@ -328,7 +337,7 @@
               .filter(jump -> pauses.get(jump) > MAX_PAUSE_MILLIS)
               .sorted()
               .toList();
-      assertEquals(tooLong, List.of(), "longest pauses by leap: " + new TreeMap<>(pauses));
+      assertEquals(tooLong, List.of(), "longest pauses by clock jump: " + new TreeMap<>(pauses));
     }
 
     private static long longestPause(long jumpMillis) {
@@ -350,7 +359,7 @@
           .orElse(Long.MAX_VALUE);
     }
 
-    /** Guards against starts that wait for news of evacuations after one lost answer. */
+    /** Guards against starts that wait for evacuation updates after one lost response. */
     @Test
     public void delaysNoStartAfterOneLostEvacuationResponse() {
       loseOne("op", 1_600);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
@@ -24,7 +24,7 @@
 import org.cottontack.core.job.WorkerReport;
 import org.cottontack.core.peer.Payload;
 
-/** One instance over a fake store, with one worker that runs everything for ever. */
+/** One instance over a fake store, with one worker whose runs never end. */
 final class LeaderSimulation implements WorkerRegistry, WorkerClient {
   /** Returns a job of one task. */
   static JobSpec job(String id) {
@@ -39,15 +39,15 @@
   final Map<RunKey, Boolean> running = new HashMap<>();
   String unansweredCall = "nothing";
 
-  /** Tells the instance which data centres are evacuated. */
+  /** Notifies the instance of the evacuated data centres. */
   Consumer<Set<DataCentreId>> operator;
 
   Set<DataCentreId> evacuated = Set.of();
 
-  /** When the rules were last told, or 0 for just now. */
+  /** When the last request for the rules was sent, or 0 for the current time. */
   long rulesMillis;
 
-  /** How long an order to start waits for its connection, in milliseconds. */
+  /** How long a start order waits for its connection, in milliseconds. */
   long connectMillis;
 
   JobEntry entry;
@@ -56,7 +56,7 @@
     restart();
   }
 
-  /** Ends the instance's process and starts another. */
+  /** Kills the process of the instance and starts another. */
   void restart() {
     process.killed = true;
     process = time.process();
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
@@ -11,10 +11,10 @@
 import org.cottontack.core.job.JobId;
 import org.testng.annotations.Test;
 
-/** Tests of a term of leading over a store that loses, delays and hides. */
+/** Tests of a leader over a store that loses, delays and suppresses responses. */
 public class LeaderTest {
 
-  /** What a leader starts. */
+  /** Starts of submitted jobs. */
   public static class Starting {
 
     @Test
@@ -28,9 +28,9 @@
     }
 
     /**
-     * The leader hears nothing of cancellations while it hears of jobs. Other instances go on
-     * telling callers that their jobs are cancelled; after two seconds of that it starts nothing,
-     * and goes on when the news come again.
+     * Guards against starts without updates of cancellations. Other instances go on confirming
+     * cancellations to callers while this leader receives jobs but no cancellations; after two
+     * seconds of that it must start nothing, and it must go on when the updates return.
      */
     @Test
     public void startsNothingWithoutCancellationUpdates() {
@@ -46,12 +46,12 @@
     }
   }
 
-  /** What a leader starts while data centres are being emptied. */
+  /** Starts while data centres are evacuated. */
   public static class Evacuating {
 
     private static final Set<DataCentreId> HERE = Set.of(new DataCentreId("dc"));
 
-    /** Guards against a first start by a leader that took over after the operator's request. */
+    /** Guards against a start by a leader that took over after the operator's request. */
     @Test
     public void startsNothingThereAfterTakingOver() {
       LeaderSimulation simulation = new LeaderSimulation();
@@ -67,7 +67,10 @@
       assertEquals(simulation.starts.size(), 1);
     }
 
-    /** Guards against an order that still waits for its connection when the request comes. */
+    /**
+     * Guards against sending an order that is still waiting for its connection when the request
+     * comes.
+     */
     @Test
     public void sendsNoOrderThatWaitedForItsConnection() {
       LeaderSimulation simulation = new LeaderSimulation();
@@ -79,7 +82,7 @@
       assertEquals(simulation.starts.size(), 0);
     }
 
-    /** Guards against starts by a leader that no longer hears the operator. */
+    /** Guards against starts by a leader that no longer receives requests of the operator. */
     @Test
     public void startsNothingWithoutEvacuationUpdates() {
       LeaderSimulation simulation = new LeaderSimulation();
@@ -94,12 +97,12 @@
     }
   }
 
-  /** What a leader writes. */
+  /** Saving of progress. */
   public static class Saving {
 
     /**
-     * The progress of one job cannot be read, by damage or by another version. Its tasks are not
-     * started anew, since they may run or be done; and all other jobs go on.
+     * The progress of one job is unreadable, because of damage or another version. The tasks of
+     * this job must not be started again, because they may run or be done; all other jobs go on.
      */
     @Test
     public void continuesDespiteUnreadableProgress() {
@@ -118,8 +121,8 @@
     }
 
     /**
-     * A version of this program that cannot read a job leads for a while. The job is open, its
-     * caller waits: its rows must stay for a leader that can read them.
+     * A version of this program that cannot read a job leads for a while. The job is open and its
+     * caller waits, so its rows must stay for a leader that can read them.
      */
     @Test
     public void keepsUnreadableOpenJobs() {
@@ -135,8 +138,9 @@
     }
 
     /**
-     * A save of progress gets no answer and is carried out three seconds later, after newer saves.
-     * It must not bring the old progress back: the next leader would run finished work again.
+     * A save of progress gets no response and is carried out three seconds later, after newer
+     * saves. It must not restore the old progress, or the next leader would run finished work
+     * again.
      */
     @Test
     public void lateDuplicateSavesChangeNothing() {
@@ -161,9 +165,12 @@
       assertEquals(simulation.store.table(JobTables.PROGRESS).toString(), before);
     }
 
-    /** The answer to a save is lost though it is done: the leader goes on, and starts once. */
+    /**
+     * The response to a save is lost although the save is done: the leader goes on, and starts the
+     * task once.
+     */
     @Test
-    public void continuesWhenTheResponseToASaveIsLost() {
+    public void continuesWhenSaveResponsesAreLost() {
       LeaderSimulation simulation = new LeaderSimulation();
       boolean[] first = {true};
       simulation.store.fate =
@@ -182,7 +189,7 @@
     }
   }
 
-  /** Larger instances that ask for the lead. */
+  /** Larger instances that request leadership. */
   public static class YieldingLeadership {
 
     private static final class LargerCandidate implements Leadership.Listener {
@@ -203,8 +210,8 @@
     }
 
     /**
-     * A leader still reads the open jobs when a larger instance asks it for the lead. It makes way
-     * at once: to read on would take a small one seconds, in which nothing starts.
+     * A leader still reads the open jobs when a larger instance requests leadership. It must yield
+     * at once: reading the rest would take a small leader seconds in which nothing starts.
      */
     @Test
     public void yieldsLeadershipWhileTakingOver() {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
@@ -13,7 +13,7 @@
 import org.cottontack.daemon.job.ElectionSimulation.Candidate;
 import org.testng.annotations.Test;
 
-/** Tests of how the lead comes to an instance that can carry it. */
+/** Tests of how leadership moves to an instance with enough capacity. */
 public class LeadershipHandoverTest {
 
   /** Instances of different sizes. */
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The leader, a large instance, is killed. Small ones and a large one watch the lease; the
-     * large one leads next. A small one would read the open jobs for seconds, start too little
+     * The leader, a large instance, is killed. Small instances and a large one watch the lease; the
+     * large one must lead next. A small one would read the open jobs for seconds, start too little
      * meanwhile, and could lose the lease under the load.
      */
     @Test
@@ -46,8 +46,8 @@
     }
 
     /**
-     * A small instance leads since no other lived. A large one starts, and soon has the lead: what
-     * the small one cannot carry would wait until its term ends some day.
+     * A small instance leads because no other was running. A large one starts and must lead soon;
+     * otherwise work beyond the capacity of the small one would wait until its term ends.
      */
     @Test
     public void smallLeadersYieldToLargerInstances() {
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The last leader was large, and only small instances are left. One of them leads, later by the
-     * head start alone; were it to wait for larger ones, nobody would lead.
+     * The last leader was large, and only small instances are left. One of them must lead, later
+     * only by the head start of larger instances; if it waited for larger ones, nobody would lead.
      */
     @Test
     public void smallInstancesLeadWhenNoLargerOneRuns() {
@@ -78,7 +78,7 @@
       assertTrue(small.leadership.leading());
     }
 
-    /** Of equal instances none asks for the lead: the rows stay as the election wrote them. */
+    /** Equal instances do not request leadership: the rows stay as the election wrote them. */
     @Test
     public void equalInstancesRequestNothing() {
       ElectionSimulation simulation = new ElectionSimulation();
@@ -91,8 +91,9 @@
     }
 
     /**
-     * A large instance asks from a data centre that the leader does not reach. Given the lead, it
-     * might reach the store and few workers. It gets the lead once the cut has healed.
+     * A large instance sends its request from a data centre that the leader does not reach. As
+     * leader it might reach the store but few workers, so it must get leadership only after the
+     * partition has healed.
      */
     @Test
     public void keepsLeadershipFromInstancesThatMayBeCutOff() {
@@ -109,8 +110,9 @@
     }
 
     /**
-     * A large leader was cut off and gave the lead away; only a small instance lives elsewhere.
-     * Were the lead asked back at once, it would come and go for as long as the cut lasts.
+     * A large leader was cut off and handed over; only a small instance runs elsewhere. If the
+     * large instance requested leadership at once, leadership would change again and again for as
+     * long as the partition lasts.
      */
     @Test
     public void requestsNothingSoonAfterLeadersWereCutOff() {
@@ -128,8 +130,8 @@
     }
 
     /**
-     * A small leader makes way, and the instance that asked dies before it has the lead. Another
-     * one leads soon, the old leader if need be.
+     * A small leader yields, and the requesting instance dies before it leads. Another instance
+     * must lead soon, if necessary the old leader.
      */
     @Test
     public void leadsAgainWhenTheRequestingInstanceHasDied() {
@@ -146,8 +148,9 @@
     }
 
     /**
-     * A large instance has asked a small leader, which dies before it answers. Small instances
-     * leave the next term to large ones; one of them would only be asked again.
+     * A large instance has sent a request to a small leader, which dies before it answers. Small
+     * instances must leave the next term to large ones, because a small leader would only receive
+     * the same request again.
      */
     @Test
     public void standsBackForInstancesWithUnansweredRequests() {
@@ -166,8 +169,8 @@
     }
 
     /**
-     * A small leader has not answered a request when its process ends; its next life leads at once.
-     * It is asked anew: the request on file was for the term before.
+     * A small leader has not answered a request when its process ends; its next incarnation leads
+     * at once. The request must be sent again, because the stored one was for the term before.
      */
     @Test
     public void requestsAgainInTheNextTerm() {
@@ -185,8 +188,9 @@
     }
 
     /**
-     * A row beside the lease holds what no instance can have written there. The watch goes on, and
-     * an instance leads when the leader dies; were it to end, nobody would ever lead again.
+     * A row beside the lease holds a text that no instance can have written. The watch must go on,
+     * and an instance must lead when the leader dies; if the watch ended, nobody would ever lead
+     * again.
      */
     @Test
     public void keepsWatchingDespiteUnreadableRows() {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
@@ -14,7 +14,7 @@
 /** Tests of the election of a leader through the store. */
 public class LeadershipTest {
 
-  /** Who leads. */
+  /** Elections without an earlier leader. */
   public static class Electing {
 
     @Test
@@ -31,7 +31,8 @@
     }
 
     /**
-     * The takeover is in the store, its answer lost. The winner looks, finds its name, and leads.
+     * The takeover is stored but its response is lost. The winner must read the row, find its own
+     * name and lead.
      */
     @Test
     public void leadsWhenTheResponseWasLost() {
@@ -51,13 +52,13 @@
     }
   }
 
-  /** Leaders that have much to do. */
+  /** Leaders under load. */
   public static class Busy {
 
     /**
-     * After a takeover hundreds of answers and a long decision keep the leader's event loop, and
-     * its timers come 2 s late. It renews between two pieces of work all the same; by its timers
-     * alone it would lose the lease, and the next leader would have the same rush.
+     * After a takeover hundreds of responses and a long decision occupy the event loop of the
+     * leader, and its timers fire 2 s late. It must still renew between two tasks. With the timers
+     * alone it would lose the lease, and the next leader would have the same load.
      */
     @Test
     public void renewsBetweenTasksOfTheEventLoop() {
@@ -75,7 +76,7 @@
       assertEquals(second.events, List.of());
     }
 
-    /** What asks often for a renewal causes no more of them than the timer does. */
+    /** Frequent calls cause no more renewals than the timer does. */
     @Test
     public void renewsNoMoreOftenThanDue() {
       ElectionSimulation simulation = new ElectionSimulation();
@@ -98,14 +99,14 @@
   public static class TakingOver {
 
     /**
-     * Longest time from a leader's loss to the next election, in milliseconds: of the 3,000 ms
-     * after which a cancelled job's runs are stopped, 700 ms are left to read the state.
+     * Longest time from the loss of a leader to the next election, in milliseconds: of the 3,000 ms
+     * after which the runs of a cancelled job are stopped, 700 ms are left to read the state.
      */
     private static final long MAX_ELECTION_MILLIS = 2_300;
 
     /**
-     * The leader is killed. Another instance leads soon, but not before the lease has ended: until
-     * then orders that the dead leader sent may still be carried out.
+     * The leader is killed. Another instance must lead soon, but not before the lease has ended:
+     * until then orders that the dead leader sent may still be carried out.
      */
     @Test
     public void waitsForTheLeaseOfAnotherInstance() {
@@ -122,7 +123,10 @@
       assertEquals(second.events, List.of("won 2"));
     }
 
-    /** Work of jobs that were cancelled as the leader was lost went on for longer than 3.2 s. */
+    /**
+     * Guards against runs that go on for longer than 3.2 s after their job was cancelled, because
+     * the leader was lost at that moment and the next election took too long.
+     */
     @Test(dataProvider = "moments")
     public void electsSoonAfterTheLoss(long killedMillis) {
       ElectionSimulation simulation = new ElectionSimulation();
@@ -135,7 +139,7 @@
       assertTrue(second.leadership.leading());
     }
 
-    /** Moments of two periods of renewal and of watching, in milliseconds. */
+    /** Times of the loss, in milliseconds, over two periods of renewal and of watching. */
     @DataProvider
     public static Object[][] moments() {
       return LongStream.range(0, 60)
@@ -143,7 +147,9 @@
           .toArray(Object[][]::new);
     }
 
-    /** All instances lose power and come back; the last leader's next life leads at once. */
+    /**
+     * All instances lose power and restart; the next incarnation of the last leader leads at once.
+     */
     @Test
     public void doesNotWaitForItsOwnPreviousIncarnation() {
       ElectionSimulation simulation = new ElectionSimulation();
@@ -156,8 +162,8 @@
     }
 
     /**
-     * The leader loses the store while others have it. It stops to start work before another can
-     * lead, and steps down when it reaches the store again.
+     * The leader cannot reach the store but other instances can. It must stop starting work before
+     * another instance can lead, and step down when it reaches the store again.
      */
     @Test
     public void leadersWithoutTheStoreStopInTime() {
@@ -178,8 +184,8 @@
     }
 
     /**
-     * The leader is cut off from most workers and gives the lead away. Its neighbour, which is
-     * first to hear of it, leaves it to an instance of another data centre.
+     * The leader is cut off from most workers and hands over. An instance of the same data centre
+     * sees this first but must leave leadership to an instance of another data centre.
      */
     @Test
     public void handsOverToAnotherDataCentre() {
@@ -199,8 +205,9 @@
     }
 
     /**
-     * Most workers are gone for good and no other instance lives. Were the lead given away again
-     * and again, nobody would lead for a third of the time, and what still runs would get nothing.
+     * Most workers are gone permanently and no other instance runs. If leadership were handed over
+     * again and again, nobody would lead for a third of the time, and the remaining workers would
+     * get no work.
      */
     @Test
     public void doesNotHandOverAgainSoon() {
@@ -228,8 +235,9 @@
     }
 
     /**
-     * The leader's name begins like the word that a lease given back holds. It leads all the same;
-     * taken for nobody, it would lose the lead to each instance that looks, again and again.
+     * The name of the leader begins with the word that marks a released lease. The leader must keep
+     * the lease; if the lease counted as free, every instance that reads it would take over, again
+     * and again.
      */
     @Test
     public void holdsTheLeaseWhateverItsName() {
@@ -242,7 +250,10 @@
       assertEquals(second.events, List.of());
     }
 
-    /** The leader is told to stop and gives its lease back; the next one need not wait for it. */
+    /**
+     * The leader is asked to stop and releases its lease; the next one need not wait for it to
+     * expire.
+     */
     @Test
     public void takesOverAtOnceWhenTheLeaderLeaves() {
       ElectionSimulation simulation = new ElectionSimulation();
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
@@ -10,7 +10,7 @@
 import org.cottontack.core.peer.Payload;
 import org.testng.annotations.Test;
 
-/** Tests of what is written to the leader's lease row. */
+/** Tests of the texts written to the lease row of the leader. */
 public class LeaseRowTest {
 
   private static final String OLD_TEXT =
@@ -24,7 +24,7 @@
     return LeaseText.parse(new Row(new RowKey("t", "p", "k"), text, 1, false).text());
   }
 
-  /** What a leader owes to those before it. */
+  /** Leases inherited from earlier leaders. */
   public static class Inheriting {
 
     @Test
@@ -41,7 +41,9 @@
       assertEquals(row.inheritedLeaseEndMillis(), 5_000 + LeaderLease.GRANT_MILLIS);
     }
 
-    /** A leader that makes way before it gave any lease passes on only what it inherited. */
+    /**
+     * A leader that yields before it granted any lease passes on only the leases that it inherited.
+     */
     @Test
     public void passesOnWhatIsLeft() {
       LeaseRow row = new LeaseRow("self/1");
@@ -52,7 +54,7 @@
     }
   }
 
-  /** The time that a renewal says. */
+  /** The time that a renewal states. */
   public static class StatingTime {
 
     private static LeaseRow rowWithClock() {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseTextTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseTextTest.java
@@ -7,10 +7,10 @@
 import java.util.OptionalLong;
 import org.testng.annotations.Test;
 
-/** Tests of what the lease row says. */
+/** Tests of formatting and parsing the text of the lease row. */
 public class LeaseTextTest {
 
-  /** Rows that this version writes. */
+  /** Rows written by this version. */
   public static class Own {
 
     @Test
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Rows of other versions: whatever they say, the lease is held and waited for. */
+  /** Rows of other versions: whatever their text, the lease counts as held and is waited for. */
   public static class Foreign {
 
     @Test
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartGateTest.java
@@ -11,10 +11,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of how old news may be when work starts. */
+/** Tests of how old updates may be when work starts. */
 public class StartGateTest {
 
-  /** Time after which nothing may begin against each kind of news, in milliseconds. */
+  /** Time after which nothing may begin that contradicts an update, in milliseconds. */
   private static final Map<FreshnessLimit, Long> BOUNDS =
       Map.of(
           FreshnessLimit.CANCELLATIONS,
@@ -39,14 +39,14 @@
       gate = new StartGate(process, sources);
     }
 
-    /** Lets time pass in which all other news is told. */
+    /** Advances the time and then refreshes all kinds of updates except the stale one. */
     void age(FreshnessLimit stale, long millis) {
       time.run(millis);
       requestTimes.replaceAll((limit, moment) -> limit == stale ? moment : process.now());
     }
   }
 
-  /** All kinds of news. */
+  /** All kinds of updates. */
   @DataProvider
   public static Object[][] kinds() {
     return new Object[][] {
@@ -54,10 +54,10 @@
     };
   }
 
-  /** Each kind of news by itself. */
+  /** Each kind of update by itself. */
   public static class Aging {
 
-    /** Guards against a start that leaves though one kind of news is as old as its bound. */
+    /** Guards against sending a start although one kind of update is as old as its limit. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
     public void closesBeforeTheBound(FreshnessLimit limit) {
       Simulation simulation = new Simulation();
@@ -73,7 +73,7 @@
       assertFalse(simulation.gate.open());
     }
 
-    /** Guards against news that counts as new after the process was suspended. */
+    /** Guards against updates that count as fresh after the process was suspended. */
     @Test(dataProvider = "kinds", dataProviderClass = StartGateTest.class)
     public void countsSuspendedTime(FreshnessLimit limit) {
       Simulation simulation = new Simulation();
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
@@ -26,9 +26,10 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * One instance, a store and a worker with two places, where a job of many short tasks starts
- * something all the time. Other instances take cancellations, an operator empties the data centre,
- * and the worker's list says that it drains: each is a row of the store.
+ * One instance, a store and a worker with capacity for two tasks, where a job of many short tasks
+ * starts tasks continuously. Other instances accept cancellations, an operator evacuates the data
+ * centre, and the list of workers states that the worker drains: each of these is a row of the
+ * store.
  */
 final class StartsSimulation implements WorkerRegistry, WorkerClient {
 
@@ -47,22 +48,22 @@
   final FakeTableStore store = new FakeTableStore(time);
   VirtualTimers.View process = time.process();
 
-  /** How long an order to start waits for its connection, in milliseconds. */
+  /** How long a start order waits for its connection, in milliseconds. */
   long connectMillis;
 
-  /** How long an order about a run is on its way, in milliseconds. */
+  /** Delay of an order about a run, in milliseconds. */
   long orderDelayMillis = 1;
 
-  /** Whether no order to stop arrives. */
+  /** Whether all stop orders are lost. */
   boolean losesStops;
 
-  /** When each run began. */
+  /** Time at which each run began. */
   final List<Long> starts = new ArrayList<>();
 
-  /** How many orders to start did not leave. */
+  /** Number of start orders that were not sent. */
   int notSent;
 
-  /** How many orders to start came after the end of their lease. */
+  /** Number of start orders that arrived after the end of their lease. */
   int late;
 
   private final VirtualTimers.View others = time.process();
@@ -82,7 +83,7 @@
     time.run(500);
   }
 
-  /** Ends the instance's process and starts another. */
+  /** Kills the process of the instance and starts another. */
   void restart() {
     process.killed = true;
     process = time.process();
@@ -91,7 +92,7 @@
     entry.start();
   }
 
-  /** Has another instance, the operator or the worker write a row. */
+  /** Writes a row as another instance, the operator or the worker does. */
   void write(RowKey row) {
     Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("now")), List.of());
     store
@@ -99,27 +100,27 @@
         .commit(change, 1_000, answer -> written.put(row, others.now().mono()));
   }
 
-  /** Has others write a row after a time. */
+  /** Writes a row after a delay, as others do. */
   void writeAfter(long millis, RowKey row) {
     others.after(millis, () -> write(row));
   }
 
-  /** Stops the instance's process after a time; its steady clock may stand still meanwhile. */
+  /** Suspends the process of the instance after a delay; its monotonic clock may stop meanwhile. */
   void pauseAfter(long millis, long pauseMillis, boolean clockToo) {
     others.after(millis, () -> process.pause(pauseMillis, clockToo));
   }
 
-  /** Sets the instance's time of day forward after a time, or back. */
+  /** Sets the wall clock of the instance forward or back after a delay. */
   void jumpClockAfter(long millis, long jumpMillis) {
     others.after(millis, () -> process.clockOffsetMillis = jumpMillis);
   }
 
-  /** Has orders about runs that leave from a time on stay on their way for so long. */
+  /** Delays orders about runs that are sent after a given time. */
   void delayOrdersAfter(long millis, long delayMillis) {
     others.after(millis, () -> orderDelayMillis = delayMillis);
   }
 
-  /** Returns how long after a row was in the store the last run began; 0 if none did. */
+  /** Returns how long after a row was stored the last run began; 0 if none did. */
   long lastStartAfter(RowKey row) {
     return starts.stream().mapToLong(at -> at - written.get(row)).max().orElse(0);
   }
@@ -238,7 +239,7 @@
     }
   }
 
-  /** Returns how many runs ended since no lease was in force. */
+  /** Returns how many runs ended because no lease was in force. */
   long expired() {
     return completions.stream()
         .filter(completion -> completion.status() == WorkerReport.CompletionStatus.LAPSED)
@@ -281,7 +282,7 @@
         });
   }
 
-  /** Writes cancellations of jobs that nobody knows, one each so many milliseconds. */
+  /** Writes cancellations of unknown jobs, one per given interval in milliseconds. */
   void writeOtherCancellations(long eachMillis, long forMillis) {
     IntStream.range(0, (int) (forMillis / eachMillis))
         .forEach(i -> writeAfter(i * eachMillis, JobTables.cancel(new JobId("other" + i))));
--- a/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
@@ -6,18 +6,19 @@
 import org.cottontack.core.Moment;
 import org.testng.annotations.Test;
 
-/** Tests of what an instance knows of the store's clock. */
+/** Tests of how an instance estimates the store's clock. */
 public class StoreClockTest {
 
   private static Moment at(long millis) {
     return new Moment(millis, 90_000 + millis);
   }
 
-  /** Bounds from answers. */
+  /** Bounds derived from responses. */
   public static class Bounds {
 
     /**
-     * The clock showed 5,000 between question and answer, so at the answer between 5,000 and 5,040.
+     * The clock showed 5,000 between request and response, so when the response arrives it shows
+     * between 5,000 and 5,040.
      */
     @Test
     public void boundsTheTimeByTheRoundTrip() {
@@ -28,7 +29,7 @@
     }
 
     @Test
-    public void knowsNothingBeforeAResponse() {
+    public void knowsNothingBeforeTheFirstResponse() {
       StoreClock clock = new StoreClock();
       clock.update(at(1_000), at(1_040), 0);
       assertEquals(clock.latest(at(1_040)), OptionalLong.empty());
@@ -36,9 +37,9 @@
     }
 
     /**
-     * An instance is suspended for 8 s after an answer. Its steady clock tells nothing of that; a
-     * row that it writes on waking must not seem older than it is, or the next leader would not
-     * wait for all leases.
+     * An instance is suspended for 8 s after a response, and its monotonic clock does not advance
+     * meanwhile. A row that it writes on resuming must not seem older than it is, or the next
+     * leader would not wait for all leases.
      */
     @Test
     public void countsSuspendedTime() {
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
@@ -17,7 +17,7 @@
 import org.cottontack.core.peer.Payload;
 import org.testng.annotations.Test;
 
-/** Tests that a follower passes over no change, whatever the store answers in between. */
+/** Tests that a watcher misses no change, whatever the store answers in between. */
 public class TableWatcherGapsTest {
 
   private static final String TABLE = "table";
@@ -31,7 +31,7 @@
     return new Row(new RowKey(TABLE, part, key), Payload.EMPTY, version, true);
   }
 
-  /** A store whose answers the test gives one by one. */
+  /** A store whose responses the test provides one by one. */
   private static final class ScriptedStore implements TableStore {
     final VirtualTimers time = new VirtualTimers();
     final VirtualTimers.View process = time.process();
@@ -53,7 +53,7 @@
 
     @Override
     public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
-      throw new AssertionError("a follower writes nothing");
+      throw new AssertionError("a watcher writes nothing");
     }
 
     @Override
@@ -87,10 +87,13 @@
     }
   }
 
-  /** Readings of the whole table. */
+  /** Scans of the whole table. */
   public static class Reading {
 
-    /** Guards against a change of a partition that was read while another was still to be read. */
+    /**
+     * Guards against missing a change in a partition that was read while another was still to be
+     * read.
+     */
     @Test
     public void continuesFromTheOldestScan() {
       ScriptedStore store = new ScriptedStore();
@@ -101,7 +104,9 @@
       assertEquals(store.calls, List.of("one", "two", "after 5", "after 9"));
     }
 
-    /** Guards against work that starts on news of some partitions while one is away. */
+    /**
+     * Guards against work that starts with the rows of some partitions while one is unavailable.
+     */
     @Test
     public void deliversNothingWhileOnePartitionIsUnavailable() {
       ScriptedStore store = new ScriptedStore();
@@ -116,7 +121,10 @@
       assertEquals(store.delivered, List.of("b+2", "current"));
     }
 
-    /** Guards against rows that were removed, changed or written while changes were forgotten. */
+    /**
+     * Guards against missing rows that were removed, changed or written in changes that the store
+     * has discarded.
+     */
     @Test
     public void deliversForgottenChanges() {
       ScriptedStore store = new ScriptedStore();
@@ -134,7 +142,7 @@
           store.delivered, List.of("a+3", "b+4", "current", "a-21", "b+12", "c+13", "d+22"));
     }
 
-    /** Guards against a removal between two readings that is lost since its version looks old. */
+    /** Guards against losing a removal between two scans because its version looks old. */
     @Test
     public void deliversRemovalsBetweenTwoScans() {
       ScriptedStore store = new ScriptedStore();
@@ -148,7 +156,7 @@
     }
   }
 
-  /** Answers about changes. */
+  /** Responses to requests for changes. */
   public static class Watching {
 
     private static ScriptedStore scannedStore() {
@@ -160,7 +168,7 @@
       return store;
     }
 
-    /** Guards against a question that begins after changes whose answer never came. */
+    /** Guards against a request that skips changes whose response never arrived. */
     @Test
     public void repeatsUnansweredRequests() {
       ScriptedStore store = scannedStore();
@@ -171,7 +179,10 @@
       assertEquals(store.delivered, List.of("a+6"));
     }
 
-    /** Guards against rows told again, or taken back, by an answer that lies further back. */
+    /**
+     * Guards against delivering rows again, or reverting them, because of a response with older
+     * changes.
+     */
     @Test
     public void deliversNoRowOlderThanItsLast() {
       ScriptedStore store = scannedStore();
@@ -182,7 +193,7 @@
       assertEquals(store.calls, List.of("after 9", "after 9", "after 9"));
     }
 
-    /** Guards against rows of other partitions that are taken for ours. */
+    /** Guards against accepting rows of other partitions. */
     @Test
     public void skipsOtherPartitionsOnly() {
       ScriptedStore store = scannedStore();
@@ -192,13 +203,13 @@
     }
   }
 
-  /** Stores in trouble at random, in virtual time. */
+  /** Stores with random faults, in virtual time. */
   public static class RandomFaults {
 
     private static final int SEEDS = 500;
     private static final int WRITES = 150;
 
-    /** Guards against a table that is not as the store has it once the trouble is over. */
+    /** Guards against a table that differs from the store once the faults are over. */
     @Test
     public void convergesOnceFaultsEnd() {
       List<Integer> wrong =
@@ -210,7 +221,7 @@
     }
   }
 
-  /** A store that answers late, not at all, or has forgotten; and one follower. */
+  /** A store that answers late, not at all, or has discarded changes; and one watcher. */
   private static final class FaultyStore implements TableStore {
     final VirtualTimers time = new VirtualTimers();
     private final FakeTableStore store = new FakeTableStore(time);
@@ -220,7 +231,7 @@
     private final Map<String, String> mirror = new TreeMap<>();
     private final Map<String, Long> versions = new HashMap<>();
     private boolean ordered = true;
-    private boolean over;
+    private boolean faultsOver;
 
     FaultyStore(int seed) {
       random = new Random(seed);
@@ -232,7 +243,7 @@
         write("k" + random.nextInt(20), "v" + i);
         time.run(random.nextInt(200));
       }
-      over = true;
+      faultsOver = true;
       time.run(10_000);
       return ordered && mirror.equals(store.table(TABLE));
     }
@@ -260,20 +271,20 @@
 
     @Override
     public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
-      throw new AssertionError("a follower writes nothing");
+      throw new AssertionError("a watcher writes nothing");
     }
 
-    private boolean occurs(int percent) {
-      return !over && random.nextInt(100) < percent;
+    private boolean faultOccurs(int percent) {
+      return !faultsOver && random.nextInt(100) < percent;
     }
 
     private void later(Runnable call) {
-      process.after(over ? 0 : random.nextInt(150), call);
+      process.after(faultsOver ? 0 : random.nextInt(150), call);
     }
 
     @Override
     public void scan(String table, String part, String prefix, Consumer<Scan> done) {
-      if (occurs(20)) {
+      if (faultOccurs(20)) {
         later(() -> done.accept(Scan.FAILED));
         return;
       }
@@ -282,11 +293,11 @@
 
     @Override
     public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
-      if (occurs(15)) {
+      if (faultOccurs(15)) {
         later(() -> done.accept(Changes.of(Changes.Outcome.FORGOTTEN)));
         return;
       }
-      boolean lost = occurs(20);
+      boolean lost = faultOccurs(20);
       faultless.watch(
           table,
           after,
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
@@ -10,12 +10,12 @@
 import org.cottontack.core.peer.Payload;
 import org.testng.annotations.Test;
 
-/** Tests of how a follower keeps up with a table in which others write too. */
+/** Tests of a watcher of a table in which others write too. */
 public class TableWatcherTest {
 
   private static final String TABLE = "table";
 
-  /** One follower of one table; its listener throws at rows that it is told to choke on. */
+  /** One watcher of one table; its listener throws at rows with the text "bad". */
   private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final FakeTableStore store = new FakeTableStore(time);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Tables in which rows change all the time. */
+  /** Tables whose rows change all the time. */
   public static class Batching {
 
     private static void writeEachTenMillis(Simulation simulation) {
@@ -68,7 +68,7 @@
       simulation.time.run(300);
     }
 
-    /** Guards against a call to the store for each change of a busy table. */
+    /** Guards against one call to the store for each change of a busy table. */
     @Test
     public void requestsOnceForManyChanges() {
       Simulation simulation = new Simulation();
@@ -80,7 +80,7 @@
       assertTrue(simulation.calls - before <= 15, "calls: " + (simulation.calls - before));
     }
 
-    /** Without batches each change is told at once. */
+    /** Without a minimum interval each change is delivered at once. */
     @Test
     public void otherwiseRequestsAtOnce() {
       Simulation simulation = new Simulation();
@@ -91,12 +91,12 @@
     }
   }
 
-  /** How old what was told is, and what it costs to know that. */
+  /** Age of the delivered rows, and the number of requests needed to keep it low. */
   public static class Freshness {
 
     private static final long MILLIS = 60_000;
 
-    /** Returns the questions of a minute. */
+    /** Returns the number of requests in a minute. */
     private static long calls(long readMillis, boolean shortWait, long jumpMillis) {
       Simulation simulation = new Simulation();
       simulation.store.readMillis = readMillis;
@@ -113,7 +113,7 @@
       return simulation.calls - before;
     }
 
-    /** Guards against questions without a wait where nothing is old. */
+    /** Guards against requests without a wait while nothing is stale. */
     @Test
     public void requestsNoMoreOftenThanItsWaitAllows() {
       assertEquals(calls(4, false, 0), MILLIS / 1_000);
@@ -122,7 +122,7 @@
       assertTrue(calls(240, true, 0) <= MILLIS / 740 + 1);
     }
 
-    /** Guards against questions without a wait for as long as the time of day is off. */
+    /** Guards against requests without a wait for as long as the wall clock is wrong. */
     @Test
     public void requestsOnceMoreAfterClockJumps() {
       for (long jump : new long[] {-3_000, 1_500, 3_000, 3_600_000}) {
@@ -132,7 +132,7 @@
       }
     }
 
-    /** Guards against answers that are dated by a time of day that has been set since. */
+    /** Guards against responses whose age is measured by a wall clock that has been set since. */
     @Test
     public void isFreshSoonAfterClockJumps() {
       Simulation simulation = new Simulation();
@@ -145,7 +145,7 @@
       assertTrue(simulation.process.now().longestSince(watcher.lastRequestSent()) <= 200);
     }
 
-    /** Guards against changes that count as told before they are. */
+    /** Guards against changes that count as delivered before they are. */
     @Test
     public void countsOnlyDeliveredChanges() {
       Simulation simulation = new Simulation();
@@ -169,12 +169,12 @@
     }
   }
 
-  /** Rows that the listener cannot take. */
+  /** Rows that make the listener throw. */
   public static class RejectedRows {
 
     /**
-     * Another writer leaves a row that the listener chokes on. The exception ended the follower
-     * without a word: the process went on with the table as it was, and saw no change ever after.
+     * Another program writes a row that makes the listener throw. The exception must not end the
+     * watcher silently: the process would keep the table as it was, and never see another change.
      */
     @Test
     public void continuesAfterRejectedRows() {
@@ -186,7 +186,10 @@
       assertEquals(simulation.delivered, List.of("b=good", "a=good"));
     }
 
-    /** The same row lies there already when the table is first read: the rows after it are told. */
+    /**
+     * The same row is already present when the table is first read: the other rows must still be
+     * delivered.
+     */
     @Test
     public void deliversOtherRowsBesideRejectedOnes() {
       Simulation simulation = new Simulation();
--- a/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.cottontack.core.Moment;
 
-/** Time that passes only when a test says so. */
+/** Virtual time, which a test advances. */
 final class VirtualTimers {
 
   private record Due(long at, long order, View view, Runnable task) {}
@@ -14,21 +14,23 @@
   private long now = 1_000;
   private long orders;
 
-  /** One process's timers: they stop for good when the process is killed. */
+  /** Timers of one process; they never fire again after the process is killed. */
   final class View implements Timers {
 
     boolean killed;
 
-    /** How late timers and answers come since the process is busy, in milliseconds. */
+    /** Delay of timers and responses because the process is busy, in milliseconds. */
     long lateMillis;
 
-    /** How far the time of day is set forward, in milliseconds; back if negative. */
+    /**
+     * Offset of the wall clock, in milliseconds: positive if it was set forward, negative if back.
+     */
     long clockOffsetMillis;
 
     private long resumesMillis;
     private long clockStoppedMillis;
 
-    /** Stops the process for so long; its steady clock may stand still meanwhile. */
+    /** Suspends the process for a time; its monotonic clock may stop meanwhile. */
     void pause(long millis, boolean clockToo) {
       resumesMillis = now + millis;
       clockStoppedMillis += clockToo ? millis : 0;
@@ -46,7 +48,7 @@
     }
   }
 
-  /** Returns the time, in milliseconds. */
+  /** Returns the current virtual time, in milliseconds. */
   long now() {
     return now;
   }
