--- a/core/src/main/java/org/cottontack/core/Scheduler.java
+++ b/core/src/main/java/org/cottontack/core/Scheduler.java
@@ -38,24 +38,24 @@
    */
   public static Step reduce(State before, Moment now, Event event) {
     State state = before.at(now);
-    Deque<Event> inbox = new ArrayDeque<>(List.of(event));
-    List<Effect> out = new ArrayList<>();
-    while (!inbox.isEmpty()) {
-      Event next = inbox.removeFirst();
+    Deque<Event> pending = new ArrayDeque<>(List.of(event));
+    List<Effect> effects = new ArrayList<>();
+    while (!pending.isEmpty()) {
+      Event next = pending.removeFirst();
       for (Handlers part : PARTS) {
         Step step = part.apply(state, next);
         state = step.state();
-        step.effects().forEach(effect -> route(effect, inbox, out));
+        step.effects().forEach(effect -> route(effect, pending, effects));
       }
     }
-    return new Step(state, out);
+    return new Step(state, effects);
   }
 
-  private static void route(Effect effect, Deque<Event> inbox, List<Effect> out) {
+  private static void route(Effect effect, Deque<Event> pending, List<Effect> effects) {
     if (effect instanceof Effect.Raise raise) {
-      inbox.addLast(raise.event());
+      pending.addLast(raise.event());
     } else {
-      out.add(effect);
+      effects.add(effect);
     }
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Candidacy.java
+++ b/core/src/main/java/org/cottontack/core/job/Candidacy.java
@@ -10,26 +10,26 @@
    * Head start of larger instances when the lead is free, in milliseconds: over twice the 150 ms by
    * which they spread their takeovers, and a sixth of what a takeover takes anyway.
    */
-  public static final long STAND_BACK_MILLIS = 400;
+  public static final long TAKEOVER_DELAY_MILLIS = 400;
 
   private final Capacity own;
-  private final long gapMillis;
+  private final long minIntervalMillis;
   private long requestVersion;
   private long requestEpoch;
   private long requestUntilMillis;
   private long handOverVersion;
-  private long quietUntilMillis = Long.MIN_VALUE;
+  private long suppressedUntilMillis = Long.MIN_VALUE;
 
   /**
    * Creates the candidacy of an instance that has seen no request for the lead.
    *
    * @param own what the instance has for leading
-   * @param gapMillis least time from a hand-over, an own term, or a request in the same term to the
-   *     next request
+   * @param minIntervalMillis least time from a hand-over, an own term, or a request in the same
+   *     term to the next request
    */
-  public Candidacy(Capacity own, long gapMillis) {
+  public Candidacy(Capacity own, long minIntervalMillis) {
     this.own = own;
-    this.gapMillis = gapMillis;
+    this.minIntervalMillis = minIntervalMillis;
   }
 
   /**
@@ -37,8 +37,8 @@
    * last leader, or who asked it for the lead: where no larger instance is left, the wait is paid
    * once.
    */
-  public long standBackMillis(Capacity other) {
-    return other.clearlyLargerThan(own) ? STAND_BACK_MILLIS : 0;
+  public long takeoverDelayMillis(Capacity other) {
+    return other.clearlyLargerThan(own) ? TAKEOVER_DELAY_MILLIS : 0;
   }
 
   /**
@@ -51,14 +51,14 @@
   public void requested(long nowMillis, long version, long epoch) {
     if (version != requestVersion) {
       requestVersion = version;
-      asking(nowMillis, epoch);
+      requesting(nowMillis, epoch);
     }
   }
 
   /** Takes in that this instance asks for the lead in a term. */
-  public void asking(long nowMillis, long epoch) {
+  public void requesting(long nowMillis, long epoch) {
     requestEpoch = epoch;
-    requestUntilMillis = nowMillis + gapMillis;
+    requestUntilMillis = nowMillis + minIntervalMillis;
   }
 
   /**
@@ -70,7 +70,7 @@
   public void handedOver(long nowMillis, long version) {
     if (version != handOverVersion) {
       handOverVersion = version;
-      keepQuiet(nowMillis);
+      suppressRequests(nowMillis);
     }
   }
 
@@ -79,8 +79,8 @@
    * it again for the same reason, and each change stops all starts: nothing would run for most of
    * the time.
    */
-  public void keepQuiet(long nowMillis) {
-    quietUntilMillis = nowMillis + gapMillis;
+  public void suppressRequests(long nowMillis) {
+    suppressedUntilMillis = nowMillis + minIntervalMillis;
   }
 
   /**
@@ -90,8 +90,8 @@
    * @param epoch the leader's term; one request a term is enough, and a new leader has none yet
    * @param leader what the leader has
    */
-  public boolean mayAsk(long nowMillis, long epoch, Capacity leader) {
-    boolean asked = epoch == requestEpoch && nowMillis < requestUntilMillis;
-    return !asked && nowMillis >= quietUntilMillis && own.clearlyLargerThan(leader);
+  public boolean mayRequest(long nowMillis, long epoch, Capacity leader) {
+    boolean alreadyRequested = epoch == requestEpoch && nowMillis < requestUntilMillis;
+    return !alreadyRequested && nowMillis >= suppressedUntilMillis && own.clearlyLargerThan(leader);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Capacity.java
+++ b/core/src/main/java/org/cottontack/core/job/Capacity.java
@@ -15,7 +15,7 @@
    * How many times as much is clearly more, as a factor: a change of leader stops all starts for
    * some hundred milliseconds, which a smaller gain does not bring back.
    */
-  private static final int CLEARLY = 2;
+  private static final int CLEAR_RATIO = 2;
 
   /**
    * Reads what {@link #text} has written.
@@ -23,12 +23,12 @@
    * @return nothing when the text is none of ours
    */
   public static Optional<Capacity> parse(String text) {
-    String[] figures = text.split(" ", -1);
-    if (figures.length != 2) {
+    String[] fields = text.split(" ", -1);
+    if (fields.length != 2) {
       return Optional.empty();
     }
     try {
-      return Optional.of(new Capacity(Long.parseLong(figures[0]), Long.parseLong(figures[1])));
+      return Optional.of(new Capacity(Long.parseLong(fields[0]), Long.parseLong(fields[1])));
     } catch (NumberFormatException e) {
       return Optional.empty();
     }
@@ -40,8 +40,8 @@
   public boolean clearlyLargerThan(Capacity other) {
     boolean noLess = processorMillis >= other.processorMillis && linkKilobits >= other.linkKilobits;
     return noLess
-        && (processorMillis > CLEARLY * other.processorMillis
-            || linkKilobits > CLEARLY * other.linkKilobits);
+        && (processorMillis > CLEAR_RATIO * other.processorMillis
+            || linkKilobits > CLEAR_RATIO * other.linkKilobits);
   }
 
   /** Returns both figures as text, a blank between them. */
--- a/core/src/main/java/org/cottontack/core/job/Evacuations.java
+++ b/core/src/main/java/org/cottontack/core/job/Evacuations.java
@@ -16,7 +16,7 @@
   private final Map<DataCentreId, Long> sinceMillis = new TreeMap<>();
 
   /** Returns whether a data centre is being emptied. */
-  boolean cover(DataCentreId dataCentre) {
+  boolean contains(DataCentreId dataCentre) {
     return sinceMillis.containsKey(dataCentre);
   }
 
@@ -38,18 +38,18 @@
 
   /** Returns what still runs in a data centre, for logs. */
   static String remaining(Collection<Worker> workers, DataCentreId dataCentre) {
-    long there = workers.stream().filter(worker -> worker.isIn(dataCentre)).count();
+    long workerCount = workers.stream().filter(worker -> worker.isIn(dataCentre)).count();
     long runs =
         workers.stream()
             .filter(worker -> worker.isIn(dataCentre))
             .mapToLong(worker -> worker.placed.size())
             .sum();
-    long lasting =
+    long longRunning =
         workers.stream()
             .filter(worker -> worker.isIn(dataCentre))
             .flatMap(worker -> worker.placed.values().stream())
             .filter(task -> task.spec.is(StepSpec.Trait.LASTS))
             .count();
-    return "workers=%d runs=%d lasting=%d".formatted(there, runs, lasting);
+    return "workers=%d runs=%d lasting=%d".formatted(workerCount, runs, longRunning);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -51,7 +51,7 @@
     worker.staleEntry = Optional.empty();
     worker.changed();
     worker.registered = true;
-    term.roomChanged = true;
+    term.capacityChanged = true;
     if (!worker.everAnswered && !worker.pollInFlight) {
       orders.poll(worker, 0);
     }
@@ -77,7 +77,7 @@
               long millis = term.evacuations.end(dataCentre, now);
               noteEvacuation("evacuation.ended", dataCentre, " afterMillis=" + millis);
             });
-    term.roomChanged = true;
+    term.capacityChanged = true;
   }
 
   /** Says what still runs in the data centres that are being emptied. */
--- a/core/src/main/java/org/cottontack/core/job/Job.java
+++ b/core/src/main/java/org/cottontack/core/job/Job.java
@@ -32,7 +32,7 @@
       return steps.get(step).stream().allMatch(task -> task.phase == Task.Phase.DONE);
     }
 
-    boolean open(int step, JobSpec spec) {
+    boolean mayStart(int step, JobSpec spec) {
       return spec.steps().get(step).after().stream().allMatch(this::done);
     }
   }
@@ -103,7 +103,7 @@
         .flatMap(
             o ->
                 IntStream.range(0, o.steps.size())
-                    .filter(step -> o.open(step, spec))
+                    .filter(step -> o.mayStart(step, spec))
                     .boxed()
                     .flatMap(step -> o.steps.get(step).stream()))
         .filter(task -> task.phase == Task.Phase.WAITING);
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -31,11 +31,12 @@
    * @param timing waits and lease lengths
    * @param table the rules in force
    * @param start when the term began
-   * @param inheritedLapseMillis the steady time at which every lease that earlier leaders gave to
-   *     workers has ended
+   * @param inheritedLeaseEndMillis the steady time at which every lease that earlier leaders gave
+   *     to workers has ended
    */
-  public JobScheduler(JobTiming timing, JobTable table, Moment start, long inheritedLapseMillis) {
-    this(timing, table, start, inheritedLapseMillis, new LearnedInterference());
+  public JobScheduler(
+      JobTiming timing, JobTable table, Moment start, long inheritedLeaseEndMillis) {
+    this(timing, table, start, inheritedLeaseEndMillis, new LearnedInterference());
   }
 
   /** Begins a term with what is known of how tasks slow each other. */
@@ -43,11 +44,11 @@
       JobTiming timing,
       JobTable table,
       Moment start,
-      long inheritedLapseMillis,
+      long inheritedLeaseEndMillis,
       Interference interference) {
     DurationEstimates durationEstimates = new DurationEstimates();
     Urgency urgency = new Urgency(durationEstimates);
-    term = new Term(timing, table, start, inheritedLapseMillis);
+    term = new Term(timing, table, start, inheritedLeaseEndMillis);
     orders = new Orders(term);
     lifecycle = new Lifecycle(term, orders, durationEstimates, urgency);
     WorkerSelector workerSelector = new WorkerSelector(interference);
@@ -83,7 +84,7 @@
     term.now = moment;
     term.effects = new ArrayList<>();
     apply(event);
-    term.jobsToRecheck.forEach(lifecycle::settle);
+    term.jobsToRecheck.forEach(lifecycle::completeIfFinished);
     term.jobsToRecheck.clear();
     return term.effects;
   }
@@ -179,12 +180,12 @@
     term.scheduledJobs.stream()
         .filter(job -> job.advance(term.now.wall()))
         .forEach(term.jobsToPlace::add);
-    term.roomChanged = true;
+    term.capacityChanged = true;
     Collection<Worker> all = List.copyOf(term.workers.values());
     all.forEach(fleet::tick);
     term.unlistedSuppressions.expire(term.workers::containsKey, term.now.mono());
-    boolean settled = term.now.mono() - term.startMillis > term.timing.settleMillis();
-    if (settled && PartitionDetector.cutOff(all)) {
+    boolean firstPollsDone = term.now.mono() - term.startMillis > term.timing.firstPollsMillis();
+    if (firstPollsDone && PartitionDetector.cutOff(all)) {
       term.effects.add(new JobEffect.HandOver("cut off from most workers"));
     }
     if (term.now.mono() - loadLoggedMillis >= term.timing.logLoadMillis()) {
--- a/core/src/main/java/org/cottontack/core/job/JobSpec.java
+++ b/core/src/main/java/org/cottontack/core/job/JobSpec.java
@@ -27,7 +27,7 @@
     public static final Schedule AT_ONCE = new Schedule(0, 0, 0);
 
     /** Returns whether the job waits for a time of day. */
-    public boolean timed() {
+    public boolean hasStartTime() {
       return repeats > 0;
     }
 
@@ -38,7 +38,7 @@
 
     /** Returns when an occurrence is due, milliseconds since 1970; 0 when it is due at once. */
     public long dueMillis(int occurrence) {
-      return timed() ? firstMillis + occurrence * intervalMillis : 0;
+      return hasStartTime() ? firstMillis + occurrence * intervalMillis : 0;
     }
   }
 
--- a/core/src/main/java/org/cottontack/core/job/JobTiming.java
+++ b/core/src/main/java/org/cottontack/core/job/JobTiming.java
@@ -7,10 +7,11 @@
  * @param contendedPollWaitMillis the same where tasks that fill run beside tasks that serve
  * @param pollRetryMillis least time between two looks at a worker that does not answer
  * @param idlePollMillis time between two looks at a worker that runs nothing
- * @param stopAgainMillis time after which a stop without effect is sent again
+ * @param stopRetryMillis time after which a stop without effect is sent again
  * @param avoidMillis how long a worker that refused work gets no more
  * @param stalledMillis time without progress after which a run is stopped and tried elsewhere
- * @param settleMillis age of a term from which on silence of workers is judged: all have been asked
+ * @param firstPollsMillis age of a term from which on silence of workers is judged: all have been
+ *     asked
  * @param learnedMillis time between two writes of what was learned about images and queues
  * @param logLoadMillis time between two log lines about the load of all workers
  * @param cancelsKept most cancellations kept for jobs that were not heard of yet
@@ -21,10 +22,10 @@
     long contendedPollWaitMillis,
     long pollRetryMillis,
     long idlePollMillis,
-    long stopAgainMillis,
+    long stopRetryMillis,
     long avoidMillis,
     long stalledMillis,
-    long settleMillis,
+    long firstPollsMillis,
     long learnedMillis,
     long logLoadMillis,
     int cancelsKept,
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -11,7 +11,7 @@
   private final Orders orders;
   private final DurationEstimates estimates;
   private final Urgency urgency;
-  private final Set<JobId> cancelledUnseen = new LinkedHashSet<>();
+  private final Set<JobId> cancelledBeforeArrival = new LinkedHashSet<>();
 
   Lifecycle(Term term, Orders orders, DurationEstimates estimates, Urgency urgency) {
     this.term = term;
@@ -28,7 +28,7 @@
     estimates.arrived(spec.queue(), urgency.work(spec));
     open(job);
     term.logEvent("job.taken", spec.id(), describe(spec));
-    if (cancelledUnseen.remove(spec.id())) {
+    if (cancelledBeforeArrival.remove(spec.id())) {
       end(job, JobPhase.CANCELLED);
     }
   }
@@ -45,8 +45,8 @@
     if (!job.phase.terminal()) {
       term.jobsToPlace.add(job);
     }
-    term.roomChanged = true;
-    if (!job.phase.terminal() && job.spec.schedule().timed()) {
+    term.capacityChanged = true;
+    if (!job.phase.terminal() && job.spec.schedule().hasStartTime()) {
       term.scheduledJobs.add(job);
     }
   }
@@ -62,22 +62,23 @@
   /** An earlier leader may have sent its start just before it ended. */
   private void inherit(Task task) {
     if (task.worker.identifierReusable()) {
-      long lapse = term.inheritedLeaseEndMillis;
+      long leaseEndMillis = term.inheritedLeaseEndMillis;
       task.expectLate(
-          LateStart.inherited(task.worker, task.spec, term.startMillis, lapse), term.now.mono());
+          LateStart.inherited(task.worker, task.spec, term.startMillis, leaseEndMillis),
+          term.now.mono());
     }
     if (task.phase == Task.Phase.PLACED) {
-      holder(task.worker).add(task);
+      workerOrUnlisted(task.worker).add(task);
     } else {
       task.worker = null;
     }
   }
 
   /** A worker that is not registered may still run what it was given. */
-  private Worker holder(WorkerIncarnation life) {
-    Worker known = term.workers.get(life.worker());
+  private Worker workerOrUnlisted(WorkerIncarnation incarnation) {
+    Worker known = term.workers.get(incarnation.worker());
     return known == null
-        ? term.add(WorkerInfo.unlisted(life), term.inheritedLeaseEndMillis)
+        ? term.add(WorkerInfo.unlisted(incarnation), term.inheritedLeaseEndMillis)
         : known;
   }
 
@@ -88,16 +89,16 @@
   void cancelled(JobId id) {
     Job job = term.jobs.get(id);
     if (job == null) {
-      cancelledUnseen.add(id);
-      forgetOldest();
+      cancelledBeforeArrival.add(id);
+      dropOldestCancellation();
     } else if (!job.phase.terminal()) {
       end(job, JobPhase.CANCELLED);
     }
   }
 
-  private void forgetOldest() {
-    if (cancelledUnseen.size() > term.timing.cancelsKept()) {
-      cancelledUnseen.remove(cancelledUnseen.iterator().next());
+  private void dropOldestCancellation() {
+    if (cancelledBeforeArrival.size() > term.timing.cancelsKept()) {
+      cancelledBeforeArrival.remove(cancelledBeforeArrival.iterator().next());
     }
   }
 
@@ -114,14 +115,14 @@
     job.tasks().filter(task -> task.phase == Task.Phase.PLACED).toList().forEach(orders::withdraw);
   }
 
-  void settle(Job job) {
+  void completeIfFinished(Job job) {
     if (!job.phase.terminal() && job.finished()) {
       end(job, JobPhase.COMPLETE);
     }
   }
 
   /** Ends a job one task of which crashes its workers. */
-  void giveUp(Task task) {
+  void abandon(Task task) {
     if (!task.job.phase.terminal()) {
       term.logEvent("job.givenUp", task.job.spec.id(), task.name + " crashes=" + task.crashes);
       end(task.job, JobPhase.FAILED);
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -60,7 +60,7 @@
             term.release(task);
           }
         });
-    hopeless.forEach(lifecycle::giveUp);
+    hopeless.forEach(lifecycle::abandon);
   }
 
   private void lose(Worker worker, boolean crashed) {
@@ -68,7 +68,7 @@
     List<Task> hopeless = judge(worker, lost, crashed);
     lost.forEach(term::release);
     lost.forEach(term::logPinned);
-    hopeless.forEach(lifecycle::giveUp);
+    hopeless.forEach(lifecycle::abandon);
   }
 
   /**
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -105,7 +105,7 @@
 
   void stop(Worker worker, RunKey run) {
     Long last = worker.stopsSent.get(run);
-    boolean due = last == null || term.now.mono() - last >= term.timing.stopAgainMillis();
+    boolean due = last == null || term.now.mono() - last >= term.timing.stopRetryMillis();
     if (worker.info.reachable() && due) {
       worker.stopsSent.put(run, term.now.mono());
       term.effects.add(new JobEffect.StopRun(worker.target(), run));
--- a/core/src/main/java/org/cottontack/core/job/PartitionDetector.java
+++ b/core/src/main/java/org/cottontack/core/job/PartitionDetector.java
@@ -12,7 +12,7 @@
 final class PartitionDetector {
 
   /** Share of the registered workers that must be silent: more than one of two equal sides. */
-  private static final double MOST_SILENT = 0.6;
+  private static final double CUT_OFF_SHARE = 0.6;
 
   private PartitionDetector() {}
 
@@ -26,7 +26,7 @@
             .distinct()
             .toList();
     long silent = registered.stream().filter(worker -> worker.silent).count();
-    return answering.size() == 1 && silent > MOST_SILENT * registered.size();
+    return answering.size() == 1 && silent > CUT_OFF_SHARE * registered.size();
   }
 
   /**
@@ -35,11 +35,12 @@
    * ask for the lead; given to it, most workers would get nothing new.
    */
   static boolean reaches(Collection<Worker> workers, DataCentreId dataCentre) {
-    List<Worker> there =
+    List<Worker> localWorkers =
         workers.stream()
             .filter(worker -> worker.registered && worker.info.dataCentre().equals(dataCentre))
             .toList();
-    long answering = there.stream().filter(worker -> worker.everAnswered && !worker.silent).count();
-    return answering >= (1 - MOST_SILENT) * there.size();
+    long answering =
+        localWorkers.stream().filter(worker -> worker.everAnswered && !worker.silent).count();
+    return answering >= (1 - CUT_OFF_SHARE) * localWorkers.size();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/PlacementPass.java
+++ b/core/src/main/java/org/cottontack/core/job/PlacementPass.java
@@ -14,7 +14,7 @@
   private final ShortTaskReserve shortTaskReserve = new ShortTaskReserve();
 
   /** Tasks of which some worker runs what nobody wants; another run would be beside that one. */
-  private Set<TaskName> runningUnwanted = Set.of();
+  private Set<TaskName> tasksWithOrphans = Set.of();
 
   PlacementPass(Term term, WorkerSelector workerSelector, Urgency urgency) {
     this.term = term;
@@ -23,13 +23,14 @@
   }
 
   void place() {
-    if (term.jobsToPlace.isEmpty() || !term.roomChanged) {
+    if (term.jobsToPlace.isEmpty() || !term.capacityChanged) {
       return;
     }
-    term.roomChanged = false;
-    workerSelector.begin(term.workers.values());
-    shortTaskReserve.begin(term.workers.values(), term.jobsToPlace, term.table, term.now.mono());
-    runningUnwanted =
+    term.capacityChanged = false;
+    workerSelector.beginPass(term.workers.values());
+    shortTaskReserve.beginPass(
+        term.workers.values(), term.jobsToPlace, term.table, term.now.mono());
+    tasksWithOrphans =
         term.workers.values().stream()
             .flatMap(worker -> worker.orphans.keySet().stream())
             .map(RunKey::task)
@@ -43,55 +44,56 @@
   private void placeJob(Job job, UnplaceableSteps unplaceableSteps) {
     JobQueue queue = term.table.current(job.spec.queue());
     List<Task> ready = job.ready().toList();
-    boolean all = true;
-    Optional<StepId> refused = Optional.empty();
+    boolean allPlaced = true;
+    Optional<StepId> unplaceableStep = Optional.empty();
     for (Task task : ready) {
-      if (refused.isPresent() && refused.get().equals(task.name.step())) {
+      if (unplaceableStep.isPresent() && unplaceableStep.get().equals(task.name.step())) {
         continue;
       }
       Optional<Worker> worker =
-          runningUnwanted.contains(task.name)
+          tasksWithOrphans.contains(task.name)
               ? Optional.empty()
               : choose(task, queue, unplaceableSteps);
       if (worker.isPresent()) {
         placeTask(task, worker.get());
-        shortTaskReserve.placed(task, queue.pool());
+        shortTaskReserve.recordPlaced(task, queue.pool());
         continue;
       }
-      all = false;
-      if (!heldBack(task)) {
-        refused = Optional.of(task.name.step());
+      allPlaced = false;
+      if (!blockedOnItsOwn(task)) {
+        unplaceableStep = Optional.of(task.name.step());
       }
     }
-    if (all) {
+    if (allPlaced) {
       term.jobsToPlace.remove(job);
     }
-    notePlaced(job, ready);
+    logPlaced(job, ready);
   }
 
   private Optional<Worker> choose(Task task, JobQueue queue, UnplaceableSteps unplaceableSteps) {
-    boolean hopeless =
-        unplaceableSteps.covers(task.spec, queue) && !workerSelector.anywhere(task.job, queue);
-    if (hopeless || !shortTaskReserve.admits(task, queue.pool())) {
+    boolean unplaceable =
+        unplaceableSteps.covers(task.spec, queue)
+            && !workerSelector.mayIgnoreContention(task.job, queue);
+    if (unplaceable || !shortTaskReserve.admits(task, queue.pool())) {
       return Optional.empty();
     }
     Optional<Worker> worker =
         workerSelector.choose(task, queue, term.workers.values(), term.now.mono());
-    if (worker.isEmpty() && !heldBack(task)) {
+    if (worker.isEmpty() && !blockedOnItsOwn(task)) {
       unplaceableSteps.add(task.spec, queue);
     }
     return worker;
   }
 
   /** Returns whether a task waits for reasons of its own, which say nothing of its siblings. */
-  private boolean heldBack(Task task) {
-    return task.pinned(term.now.mono()) || runningUnwanted.contains(task.name);
+  private boolean blockedOnItsOwn(Task task) {
+    return task.pinned(term.now.mono()) || tasksWithOrphans.contains(task.name);
   }
 
-  private void notePlaced(Job job, List<Task> ready) {
+  private void logPlaced(Job job, List<Task> ready) {
     List<Task> placed = ready.stream().filter(task -> task.phase == Task.Phase.PLACED).toList();
     if (!placed.isEmpty()) {
-      String where =
+      String placements =
           placed.stream()
               .map(
                   t ->
@@ -103,11 +105,11 @@
                           + "@"
                           + t.worker.worker())
               .collect(Collectors.joining(" "));
-      int open = ready.size() - placed.size();
+      int unplaced = ready.size() - placed.size();
       term.logEvent(
           "job.placed",
           job.spec.id(),
-          "table=" + term.table.version() + " left=" + open + " " + where);
+          "table=" + term.table.version() + " left=" + unplaced + " " + placements);
     }
   }
 
--- a/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
@@ -91,8 +91,8 @@
   }
 
   private String learnedIfDue() {
-    Set<WorkerIncarnation> hiding = term.hiding();
-    Map<WorkerIncarnation, Long> held = term.firstHeld();
+    Set<WorkerIncarnation> hiding = term.incarnationsWithSuppressions();
+    Map<WorkerIncarnation, Long> held = term.firstDeferred();
     if (!learnedDue()
         && hiding.equals(savedHiding)
         && heldIsSaved(held)
@@ -103,7 +103,7 @@
     savedHiding = hiding;
     savedHeld = held;
     term.incarnationsUnsaved = false;
-    toStore = term.acknowledgedLives();
+    toStore = term.acknowledgedIncarnations();
     LearnedText.Written written = learned.write(hiding, toStore, held);
     stored = LearnedText.acknowledged(written.text());
     noteCut("lives", written.livesCut());
--- a/core/src/main/java/org/cottontack/core/job/ShortTaskReserve.java
+++ b/core/src/main/java/org/cottontack/core/job/ShortTaskReserve.java
@@ -19,70 +19,75 @@
   private static final double HALF_LIFE_MILLIS = 20_000;
 
   /** Weight of the newest task in the usual size of short ones. */
-  private static final double NEWEST = 0.05;
+  private static final double NEWEST_WEIGHT = 0.05;
 
   private final Map<String, Pool> pools = new HashMap<>();
-  private long beganMillis;
+  private long lastPassMillis;
 
   /** What is known of a pool of workers; processor time in thousandths of a core. */
   private static final class Pool {
     /** What a short task asks for, on average. */
-    double usualTask;
+    double meanTaskCpu;
 
     /** The most that short tasks held and waited for, fading. */
-    double peak;
+    double peakDemand;
 
     /** What is free in pieces that hold a usual short task; smaller ones are of no use to them. */
-    double pieces;
+    double usableFree;
 
     long capacity;
     long used;
 
     /** What short tasks hold. */
-    long held;
+    long shortTasksCpu;
 
     /** What short tasks wait for. */
-    long waiting;
+    long waitingCpu;
 
     void clear() {
-      pieces = 0;
+      usableFree = 0;
       capacity = 0;
       used = 0;
-      held = 0;
-      waiting = 0;
+      shortTasksCpu = 0;
+      waitingCpu = 0;
     }
 
     void add(Worker worker) {
       capacity += worker.info.capacity().cpuMillis();
       used += worker.used.cpuMillis();
-      held += worker.used.cpuMillis() - worker.servingCpu;
+      shortTasksCpu += worker.used.cpuMillis() - worker.servingCpu;
       long free = Math.max(0, worker.free().cpuMillis());
-      pieces += usualTask == 0 ? free : Math.floor(free / usualTask) * usualTask;
+      usableFree += meanTaskCpu == 0 ? free : Math.floor(free / meanTaskCpu) * meanTaskCpu;
     }
 
     boolean admits(long cpuMillis) {
-      return WorkerSelector.roomy(used, capacity) || pieces - cpuMillis + held >= peak;
+      return WorkerSelector.lightlyReserved(used, capacity)
+          || usableFree - cpuMillis + shortTasksCpu >= peakDemand;
     }
   }
 
   /** Takes in what is used and what waits before a pass over what waits. */
-  void begin(Collection<Worker> workers, Collection<Job> hungry, JobTable table, long nowMillis) {
-    final double kept = Math.pow(0.5, (nowMillis - beganMillis) / HALF_LIFE_MILLIS);
-    beganMillis = nowMillis;
+  void beginPass(
+      Collection<Worker> workers, Collection<Job> jobsToPlace, JobTable table, long nowMillis) {
+    final double decay = Math.pow(0.5, (nowMillis - lastPassMillis) / HALF_LIFE_MILLIS);
+    lastPassMillis = nowMillis;
     pools.values().forEach(Pool::clear);
     workers.stream()
         .filter(Worker::countsForPool)
         .forEach(worker -> pool(worker.info.pool()).add(worker));
-    hungry.stream()
+    jobsToPlace.stream()
         .filter(job -> job.spec.steps().stream().anyMatch(ShortTaskReserve::isShort))
-        .forEach(job -> pool(table.current(job.spec.queue()).pool()).waiting += waiting(job));
+        .forEach(job -> pool(table.current(job.spec.queue()).pool()).waitingCpu += waitingCpu(job));
     pools
         .values()
         .forEach(
-            pool -> pool.peak = Math.max(kept * pool.peak, (double) (pool.held + pool.waiting)));
+            pool ->
+                pool.peakDemand =
+                    Math.max(
+                        decay * pool.peakDemand, (double) (pool.shortTasksCpu + pool.waitingCpu)));
   }
 
-  private static long waiting(Job job) {
+  private static long waitingCpu(Job job) {
     return job.ready()
         .filter(task -> isShort(task.spec))
         .mapToLong(task -> task.spec.reserved().cpuMillis())
@@ -99,19 +104,19 @@
 
   /** Returns whether a task may begin in a pool now. */
   boolean admits(Task task, String pool) {
-    boolean isNew = task.spec.is(StepSpec.Trait.LASTS) && task.run == 0;
-    return !isNew || pool(pool).admits(task.spec.reserved().cpuMillis());
+    boolean neverStarted = task.spec.is(StepSpec.Trait.LASTS) && task.run == 0;
+    return !neverStarted || pool(pool).admits(task.spec.reserved().cpuMillis());
   }
 
   /** Takes in that a task got a place in a pool. */
-  void placed(Task task, String name) {
+  void recordPlaced(Task task, String name) {
     Pool pool = pool(name);
     long cpu = task.spec.reserved().cpuMillis();
     pool.used += cpu;
-    pool.pieces -= cpu;
+    pool.usableFree -= cpu;
     if (isShort(task.spec)) {
-      pool.held += cpu;
-      pool.usualTask += (pool.usualTask == 0 ? 1 : NEWEST) * (cpu - pool.usualTask);
+      pool.shortTasksCpu += cpu;
+      pool.meanTaskCpu += (pool.meanTaskCpu == 0 ? 1 : NEWEST_WEIGHT) * (cpu - pool.meanTaskCpu);
     }
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -55,16 +55,16 @@
   /** Whether the next leader would not know which lives hide ends, or may come to do so. */
   boolean incarnationsUnsaved;
 
-  boolean roomChanged;
+  boolean capacityChanged;
   Moment now;
   List<JobEffect> effects = new ArrayList<>();
 
-  Term(JobTiming timing, JobTable table, Moment start, long inheritedLapseMillis) {
+  Term(JobTiming timing, JobTable table, Moment start, long inheritedLeaseEndMillis) {
     this.timing = timing;
     this.table = table;
     this.now = start;
     this.startMillis = start.mono();
-    this.inheritedLeaseEndMillis = inheritedLapseMillis;
+    this.inheritedLeaseEndMillis = inheritedLeaseEndMillis;
   }
 
   void logEvent(String name, Object subject, String detail) {
@@ -77,14 +77,15 @@
   }
 
   /** Returns the worker that leads a life, if it still does. */
-  Optional<Worker> worker(WorkerIncarnation life) {
-    return Optional.ofNullable(workers.get(life.worker()))
-        .filter(worker -> worker.incarnation().equals(life));
+  Optional<Worker> worker(WorkerIncarnation incarnation) {
+    return Optional.ofNullable(workers.get(incarnation.worker()))
+        .filter(worker -> worker.incarnation().equals(incarnation));
   }
 
   /** Returns the worker whose entry may speak of a life, if there is one. */
-  Optional<Worker> listedAs(WorkerIncarnation life) {
-    return Optional.ofNullable(workers.get(life.worker())).filter(worker -> worker.listedAs(life));
+  Optional<Worker> listedAs(WorkerIncarnation incarnation) {
+    return Optional.ofNullable(workers.get(incarnation.worker()))
+        .filter(worker -> worker.listedAs(incarnation));
   }
 
   /** Returns the worker that holds a placed task, whichever life the task was placed on. */
@@ -95,9 +96,9 @@
   /**
    * Adds a worker in place of what was known by its identifier.
    *
-   * @param lapseMillis when leases that were not given through it have ended
+   * @param leaseEndMillis when leases that were not given through it have ended
    */
-  Worker add(WorkerInfo info, long lapseMillis) {
+  Worker add(WorkerInfo info, long leaseEndMillis) {
     Acknowledgements acknowledgements = incarnations.acknowledgements(info.id());
     acknowledgements.unanswered();
     LateLeases lateLeases = incarnations.lateLeases(info.id());
@@ -106,23 +107,23 @@
     // The life before may be the one that leads, and answer again.
     Optional.ofNullable(workers.get(info.id())).ifPresent(this::forget);
     Worker worker =
-        new Worker(info, evacuations, restarts, lapseMillis, acknowledgements, lateLeases);
+        new Worker(info, evacuations, restarts, leaseEndMillis, acknowledgements, lateLeases);
     workers.put(info.id(), worker);
     return worker;
   }
 
   /** Takes in that a life may be named ends as soon as this is stored. */
-  void acknowledging(WorkerIncarnation life) {
-    incarnations.acknowledgements(life.worker()).acknowledging(life, now.mono());
+  void acknowledging(WorkerIncarnation incarnation) {
+    incarnations.acknowledgements(incarnation.worker()).acknowledging(incarnation, now.mono());
   }
 
   /** Takes in that an earlier leader may have named ends to a life. */
-  void inheritAcknowledged(WorkerIncarnation life) {
-    incarnations.acknowledgements(life.worker()).inherit(life, startMillis);
+  void inheritAcknowledged(WorkerIncarnation incarnation) {
+    incarnations.acknowledgements(incarnation.worker()).inherit(incarnation, startMillis);
   }
 
   /** Returns the lives whose next ones may get acknowledgements that were meant for them. */
-  Set<WorkerIncarnation> acknowledgedLives() {
+  Set<WorkerIncarnation> acknowledgedIncarnations() {
     return incarnations.acknowledged(workers::containsKey, now.mono());
   }
 
@@ -139,7 +140,7 @@
   }
 
   /** Returns the lives that may never list some ends; those away for longest are last. */
-  Set<WorkerIncarnation> hiding() {
+  Set<WorkerIncarnation> incarnationsWithSuppressions() {
     Stream<WorkerIncarnation> known =
         workers.values().stream()
             .filter(worker -> !worker.suppressedCompletions.none())
@@ -149,7 +150,7 @@
   }
 
   /** Returns the lowest number that is held on each life with held ends. */
-  Map<WorkerIncarnation, Long> firstHeld() {
+  Map<WorkerIncarnation, Long> firstDeferred() {
     Map<WorkerIncarnation, Long> first = new HashMap<>(unlistedDeferrals.first(now.mono()));
     for (Worker worker : workers.values()) {
       worker
@@ -181,22 +182,22 @@
   /** Takes a task off its worker; it waits again unless it is done or its job has ended. */
   void release(Task task) {
     Optional.ofNullable(task.worker)
-        .map(life -> workers.get(life.worker()))
+        .map(incarnation -> workers.get(incarnation.worker()))
         .ifPresent(worker -> worker.remove(task));
-    task.release().forEach(end -> settle(task, end));
+    task.release().forEach(completion -> deferAcknowledgement(task, completion));
     dirty.add(task.job);
-    roomChanged = true;
+    capacityChanged = true;
     if (!task.job.phase.terminal()) {
       jobsToPlace.add(task.job);
     }
   }
 
-  private void settle(Task task, Task.EarlierCompletion end) {
+  private void deferAcknowledgement(Task task, Task.EarlierCompletion completion) {
     long millis = task.pinnedForMillis(now.mono()).orElse(0);
-    worker(end.on())
+    worker(completion.on())
         .map(on -> on.deferredAcknowledgements)
-        .or(() -> unlistedDeferrals.of(end.on()))
-        .ifPresent(held -> held.hold(end.number(), now.mono(), millis));
+        .or(() -> unlistedDeferrals.of(completion.on()))
+        .ifPresent(deferred -> deferred.hold(completion.number(), now.mono(), millis));
     jobsToRecheck.add(task.job);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/UnplaceableSteps.java
+++ b/core/src/main/java/org/cottontack/core/job/UnplaceableSteps.java
@@ -10,23 +10,23 @@
  */
 final class UnplaceableSteps {
 
-  private record Refused(StepSpec step, String pool) {}
+  private record Entry(StepSpec step, String pool) {}
 
-  private final List<Refused> refused = new ArrayList<>();
+  private final List<Entry> entries = new ArrayList<>();
 
   void add(StepSpec step, JobQueue queue) {
     if (!covers(step, queue)) {
-      refused.add(new Refused(step, queue.pool()));
+      entries.add(new Entry(step, queue.pool()));
     }
   }
 
   /** Returns whether a step's tasks need not be tried. */
   boolean covers(StepSpec step, JobQueue queue) {
-    return refused.stream()
-        .anyMatch(r -> r.pool().equals(queue.pool()) && asksNoLess(step, r.step()));
+    return entries.stream()
+        .anyMatch(r -> r.pool().equals(queue.pool()) && needsAtLeastAsMuch(step, r.step()));
   }
 
-  private static boolean asksNoLess(StepSpec step, StepSpec other) {
+  private static boolean needsAtLeastAsMuch(StepSpec step, StepSpec other) {
     if (step.equals(other)) {
       return true;
     }
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -19,19 +19,19 @@
 final class Urgency {
 
   /** Worth of a job to its caller that does not grow with its size, as a share of a mean job's. */
-  private static final double FIXED_WORTH = 0.3;
+  private static final double FIXED_JOB_VALUE = 0.3;
 
   /** A job is worth at most this many mean jobs: larger ones are one caller's all the same. */
-  private static final double MOST_WORTH = 4;
+  private static final double MAX_JOB_VALUE = 4;
 
   /** Added to the share of the objective that is left, so that urgency at most quintuples. */
   private static final double URGENCY_OFFSET = 0.25;
 
   /** Least work that counts as left, in thousandths of a core times milliseconds. */
-  private static final double LEAST_WORK = 100_000;
+  private static final double MIN_REMAINING_WORK = 100_000;
 
   /** What a result is worth by the time that it can still come at. */
-  private enum Chance {
+  private enum Timeliness {
     IN_TIME(1),
     /** Late, but within three times the objective. */
     LATE(0.25),
@@ -39,40 +39,40 @@
     TOO_LATE(0.02);
 
     /** A result later than this many times its objective is of no use to the caller. */
-    private static final int LATEST = 3;
+    private static final int MAX_OBJECTIVES = 3;
 
-    private final double share;
+    private final double valueShare;
 
-    Chance(double share) {
-      this.share = share;
+    Timeliness(double share) {
+      this.valueShare = share;
     }
 
-    static Chance of(long endMillis, long objectiveMillis) {
-      if (endMillis <= objectiveMillis) {
+    static Timeliness of(long completionMillis, long objectiveMillis) {
+      if (completionMillis <= objectiveMillis) {
         return IN_TIME;
       }
-      return endMillis <= LATEST * objectiveMillis ? LATE : TOO_LATE;
+      return completionMillis <= MAX_OBJECTIVES * objectiveMillis ? LATE : TOO_LATE;
     }
   }
 
   /** How long a new job that lasts waits behind short ones, in milliseconds. */
-  private static final long LONGEST_PATIENCE_MILLIS = 10_000;
+  private static final long MAX_DEFERRAL_MILLIS = 10_000;
 
   /** A waiting job with what decides its turn. */
-  private record Turn(Job job, int priority, Rank rank, double score) {}
+  private record RankedJob(Job job, int priority, Rank rank, double score) {}
 
   /** Groups of one priority, in the order of their turns. */
   private enum Rank {
     FIRST,
-    PATIENT,
+    DEFERRED,
     LAST
   }
 
-  private static final Comparator<Turn> ORDER =
-      Comparator.comparingInt(Turn::priority)
-          .thenComparing(Turn::rank)
-          .thenComparing(Comparator.comparingDouble(Turn::score).reversed())
-          .thenComparing(turn -> turn.job().spec.id());
+  private static final Comparator<RankedJob> ORDER =
+      Comparator.comparingInt(RankedJob::priority)
+          .thenComparing(RankedJob::rank)
+          .thenComparing(Comparator.comparingDouble(RankedJob::score).reversed())
+          .thenComparing(rankedJob -> rankedJob.job().spec.id());
 
   private final DurationEstimates estimates;
 
@@ -82,37 +82,48 @@
 
   /** Returns the jobs in the order of their turns. */
   List<Job> order(Collection<Job> jobs, long nowMillis) {
-    return jobs.stream().map(job -> turn(job, nowMillis)).sorted(ORDER).map(Turn::job).toList();
+    return jobs.stream()
+        .map(job -> rank(job, nowMillis))
+        .sorted(ORDER)
+        .map(RankedJob::job)
+        .toList();
   }
 
-  private Turn turn(Job job, long nowMillis) {
+  private RankedJob rank(Job job, long nowMillis) {
     int priority = job.spec.queue().priority();
     if (job.spec.isLongRunning()) {
       long waited = nowMillis - job.arrivedMillis;
-      Rank rank = job.begun || waited > LONGEST_PATIENCE_MILLIS ? Rank.FIRST : Rank.PATIENT;
-      return new Turn(job, priority, rank, Double.MAX_VALUE);
+      Rank rank = job.begun || waited > MAX_DEFERRAL_MILLIS ? Rank.FIRST : Rank.DEFERRED;
+      return new RankedJob(job, priority, rank, Double.MAX_VALUE);
     }
-    if (job.spec.schedule().timed()) {
-      return new Turn(job, priority, Rank.FIRST, Double.MAX_VALUE);
+    if (job.spec.schedule().hasStartTime()) {
+      return new RankedJob(job, priority, Rank.FIRST, Double.MAX_VALUE);
     }
-    long objective = objectiveMillis(job.spec);
-    long end = nowMillis - job.arrivedMillis + remainingMillis(job);
-    Rank rank = Chance.of(end, objective) == Chance.TOO_LATE ? Rank.LAST : Rank.FIRST;
-    return new Turn(job, priority, rank, score(job, objective, end));
+    long objectiveMillis = objectiveMillis(job.spec);
+    long completionMillis = nowMillis - job.arrivedMillis + remainingMillis(job);
+    Rank rank =
+        Timeliness.of(completionMillis, objectiveMillis) == Timeliness.TOO_LATE
+            ? Rank.LAST
+            : Rank.FIRST;
+    return new RankedJob(job, priority, rank, score(job, objectiveMillis, completionMillis));
   }
 
   /** Returns how long after its acceptance a job should be complete, in milliseconds. */
   long objectiveMillis(JobSpec spec) {
-    return (long) (spec.queue().stretch() * chainMillis(spec)) + spec.queue().targetMillis();
+    return (long) (spec.queue().stretch() * criticalPathMillis(spec)) + spec.queue().targetMillis();
   }
 
-  private double score(Job job, long objective, long end) {
+  private double score(Job job, long objectiveMillis, long completionMillis) {
     JobQueue queue = job.spec.queue();
-    double left = Math.max(0, objective - end) / (double) Math.max(1, objective);
+    double slackShare =
+        Math.max(0, objectiveMillis - completionMillis) / (double) Math.max(1, objectiveMillis);
     double relative = estimates.relative(queue, work(job.spec));
-    double worth = Math.min(MOST_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * relative);
-    double work = Math.max(LEAST_WORK, remainingWork(job));
-    return worth * Chance.of(end, objective).share / (URGENCY_OFFSET + left) / work;
+    double value = Math.min(MAX_JOB_VALUE, FIXED_JOB_VALUE + (1 - FIXED_JOB_VALUE) * relative);
+    double work = Math.max(MIN_REMAINING_WORK, remainingWork(job));
+    return value
+        * Timeliness.of(completionMillis, objectiveMillis).valueShare
+        / (URGENCY_OFFSET + slackShare)
+        / work;
   }
 
   /** Returns the whole work of a job, in thousandths of a core times milliseconds. */
@@ -149,16 +160,17 @@
     return 1 - Math.min(task.progress, Task.FULL_PROGRESS) / (double) Task.FULL_PROGRESS;
   }
 
-  private long chainMillis(JobSpec spec) {
-    return chain(spec, step -> estimates.millis(spec.queue(), spec.steps().get(step)));
+  private long criticalPathMillis(JobSpec spec) {
+    return criticalPath(spec, step -> estimates.millis(spec.queue(), spec.steps().get(step)));
   }
 
   /** Returns the probable time of the longest chain of steps that are not done. */
   private long remainingMillis(Job job) {
     return job.occurrences.stream()
-        .mapToLong(occurrence -> chain(job.spec, step -> remainingMillis(job, occurrence, step)))
+        .mapToLong(
+            occurrence -> criticalPath(job.spec, step -> remainingMillis(job, occurrence, step)))
         .max()
-        .orElseGet(() -> chainMillis(job.spec));
+        .orElseGet(() -> criticalPathMillis(job.spec));
   }
 
   private long remainingMillis(Job job, Job.Occurrence occurrence, int step) {
@@ -171,7 +183,7 @@
     return Math.round(share * estimates.millis(job.spec.queue(), job.spec.steps().get(step)));
   }
 
-  private static long chain(JobSpec spec, IntToLongFunction millis) {
+  private static long criticalPath(JobSpec spec, IntToLongFunction millis) {
     long[] ends = new long[spec.steps().size()];
     IntStream.range(0, ends.length)
         .forEach(
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -187,7 +187,7 @@
 
   /** Returns whether the operator empties its data centre. */
   boolean evacuated() {
-    return evacuations.cover(info.dataCentre());
+    return evacuations.contains(info.dataCentre());
   }
 
   /** Returns whether its room counts as room of its pool. */
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -74,7 +74,7 @@
     worker.changed();
     relocate(worker);
     abandonStalled(worker);
-    term.roomChanged = true;
+    term.capacityChanged = true;
     boolean toAcknowledge = worker.lastSeenCompletion > worker.lastAcknowledgedCompletion;
     boolean busy = !worker.placed.isEmpty() || !worker.orphans.isEmpty();
     if (busy && !toAcknowledge) {
@@ -242,7 +242,7 @@
       // workers fail all they are given.
       task.forgetCrashes();
     } else {
-      CrashBlame.endedUndone(List.of(task)).forEach(lifecycle::giveUp);
+      CrashBlame.endedUndone(List.of(task)).forEach(lifecycle::abandon);
       term.logPinned(task);
     }
     if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
@@ -259,7 +259,7 @@
       worker.succeeded();
       task.phase = Task.Phase.DONE;
       term.jobsToPlace.add(task.job);
-      lifecycle.settle(task.job);
+      lifecycle.completeIfFinished(task.job);
     } else if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
       lifecycle.failed(task);
     }
--- a/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
@@ -21,10 +21,10 @@
    * Predicted strain up to which a task that fills may join; 1 is all the headroom that there will
    * be. What is kept back is for loads that swing and predictions that are wrong.
    */
-  static final double MOST_STRAIN = 0.8;
+  static final double MAX_HEADROOM_USE = 0.8;
 
   /** Steps of strain that count as equal: the estimate is not finer. */
-  private static final double STRAIN_STEP = 0.15;
+  private static final double HEADROOM_USE_STEP = 0.15;
 
   /** Differences of tolerance that count. */
   private static final long TOLERANCE_STEPS = 5;
@@ -33,23 +33,23 @@
    * Share of its processors that a task that fills must find idle. Placed on less, a backlog slows
    * all jobs alike and makes each of them late, where in turn most would be on time.
    */
-  private static final double LEAST_LEFTOVER = 0.3;
+  private static final double MIN_IDLE_SHARE = 0.3;
 
   private static final Comparator<Candidate> BEST =
-      Comparator.comparing(Candidate::keeps)
-          .thenComparing(Candidate::near)
-          .thenComparing(Candidate::fresh)
-          .thenComparingLong(Candidate::suits)
-          .thenComparingLong(Candidate::room)
+      Comparator.comparing(Candidate::reportsAllCompletions)
+          .thenComparing(Candidate::dataLocal)
+          .thenComparing(Candidate::notFailedHere)
+          .thenComparingLong(Candidate::affinity)
+          .thenComparingLong(Candidate::tieBreak)
           .thenComparing(candidate -> candidate.worker().info.id());
 
   /** Share of the processors reserved up to which a pool counts as roomy. */
-  private static final double ROOMY_SHARE = 0.6;
+  private static final double LIGHT_RESERVATION_SHARE = 0.6;
 
-  private static final int EMPTY = 1;
-  private static final int STRANGE = 0;
+  private static final int NO_SERVING_TASKS = 1;
+  private static final int OTHER_IMAGES = 0;
   private final Interference interference;
-  private final Set<String> roomyPools = new HashSet<>();
+  private final Set<String> lightlyReservedPools = new HashSet<>();
 
   WorkerSelector(Interference interference) {
     this.interference = interference;
@@ -59,18 +59,23 @@
    * A worker that has room.
    *
    * @param worker the worker
-   * @param keeps whether the task would stay there
-   * @param near whether it is where the data lies
-   * @param fresh whether the task has not failed there before
-   * @param suits how well the task goes with what is there; more is better
-   * @param room decides among equals; more is better
+   * @param reportsAllCompletions whether the task would stay there
+   * @param dataLocal whether it is where the data lies
+   * @param notFailedHere whether the task has not failed there before
+   * @param affinity how well the task goes with what is there; more is better
+   * @param tieBreak decides among equals; more is better
    */
   private record Candidate(
-      Worker worker, boolean keeps, boolean near, boolean fresh, long suits, long room) {}
+      Worker worker,
+      boolean reportsAllCompletions,
+      boolean dataLocal,
+      boolean notFailedHere,
+      long affinity,
+      long tieBreak) {}
 
   /** Takes in how much is reserved before a pass over what waits. */
-  void begin(Collection<Worker> workers) {
-    roomyPools.clear();
+  void beginPass(Collection<Worker> workers) {
+    lightlyReservedPools.clear();
     workers.stream()
         .filter(Worker::countsForPool)
         .collect(Collectors.groupingBy(worker -> worker.info.pool()))
@@ -78,8 +83,8 @@
             (pool, all) -> {
               long cpu = all.stream().mapToLong(w -> w.info.capacity().cpuMillis()).sum();
               long used = all.stream().mapToLong(w -> w.used.cpuMillis()).sum();
-              if (roomy(used, cpu)) {
-                roomyPools.add(pool);
+              if (lightlyReserved(used, cpu)) {
+                lightlyReservedPools.add(pool);
               }
             });
   }
@@ -88,8 +93,8 @@
    * Returns whether little of a pool is reserved, so that users would see a job or a service wait
    * beside idle workers.
    */
-  static boolean roomy(long reservedCpu, long cpu) {
-    return reservedCpu < ROOMY_SHARE * cpu;
+  static boolean lightlyReserved(long reservedCpu, long cpu) {
+    return reservedCpu < LIGHT_RESERVATION_SHARE * cpu;
   }
 
   /**
@@ -97,8 +102,8 @@
    * roomy. An image that harms all others would otherwise never run, and its jobs never end; its
    * first task is paced where it does harm.
    */
-  boolean anywhere(Job job, JobQueue queue) {
-    return roomyPools.contains(queue.pool()) && !job.onWorkers();
+  boolean mayIgnoreContention(Job job, JobQueue queue) {
+    return lightlyReservedPools.contains(queue.pool()) && !job.onWorkers();
   }
 
   /** Returns the worker to run a task on, or nothing when none has room. */
@@ -123,17 +128,36 @@
   }
 
   private Optional<Candidate> candidate(Task task, JobQueue queue, Worker worker, long nowMillis) {
-    boolean near = task.spec.rack().stream().allMatch(worker.info.labels()::contains);
-    boolean fresh = !task.failedOn.contains(worker.incarnation());
+    boolean dataLocal = task.spec.rack().stream().allMatch(worker.info.labels()::contains);
+    boolean notFailedHere = !task.failedOn.contains(worker.incarnation());
     if (task.spec.is(StepSpec.Trait.FILLS)) {
-      return filling(task, queue, worker.contention(interference, nowMillis), worker, near, fresh);
+      return bestEffortCandidate(
+          task,
+          queue,
+          worker.contention(interference, nowMillis),
+          worker,
+          dataLocal,
+          notFailedHere);
     }
     if (task.spec.serves()) {
-      long room = -worker.free().cpuMillis();
+      long tieBreak = -worker.free().cpuMillis();
       return Optional.of(
-          new Candidate(worker, keeps(worker), near, fresh, kinship(task, worker), room));
+          new Candidate(
+              worker,
+              reportsAllCompletions(worker),
+              dataLocal,
+              notFailedHere,
+              imageAffinity(task, worker),
+              tieBreak));
     }
-    return Optional.of(new Candidate(worker, keeps(worker), near, fresh, 0, worker.leftoverCpu()));
+    return Optional.of(
+        new Candidate(
+            worker,
+            reportsAllCompletions(worker),
+            dataLocal,
+            notFailedHere,
+            0,
+            worker.leftoverCpu()));
   }
 
   /**
@@ -141,37 +165,44 @@
    * or beside none, to those that need them. Beside a tail that is over its bound already nothing
    * joins: it would start at full pace.
    */
-  private Optional<Candidate> filling(
+  private Optional<Candidate> bestEffortCandidate(
       Task task,
       JobQueue queue,
-      ContentionSnapshot crowding,
+      ContentionSnapshot contention,
       Worker worker,
-      boolean near,
-      boolean fresh) {
-    if (crowding.alarmed() || crowding.leftover() < LEAST_LEFTOVER * task.spec.need().cpuMillis()) {
+      boolean dataLocal,
+      boolean notFailedHere) {
+    if (contention.alarmed()
+        || contention.leftover() < MIN_IDLE_SHARE * task.spec.need().cpuMillis()) {
       return Optional.empty();
     }
-    double strain = crowding.strainJoined(worker, task, interference);
-    if (strain > MOST_STRAIN && !anywhere(task.job, queue)) {
+    double headroomUse = contention.strainJoined(worker, task, interference);
+    if (headroomUse > MAX_HEADROOM_USE && !mayIgnoreContention(task.job, queue)) {
       return Optional.empty();
     }
-    long steps = Math.round(strain / STRAIN_STEP);
-    long suits = -TOLERANCE_STEPS * steps - Math.round(TOLERANCE_STEPS * crowding.tolerance());
+    long steps = Math.round(headroomUse / HEADROOM_USE_STEP);
+    long affinity = -TOLERANCE_STEPS * steps - Math.round(TOLERANCE_STEPS * contention.tolerance());
     return Optional.of(
-        new Candidate(worker, keeps(worker), near, fresh, suits, crowding.leftover()));
+        new Candidate(
+            worker,
+            reportsAllCompletions(worker),
+            dataLocal,
+            notFailedHere,
+            affinity,
+            contention.leftover()));
   }
 
-  private static boolean keeps(Worker worker) {
+  private static boolean reportsAllCompletions(Worker worker) {
     return worker.suppressedCompletions.none();
   }
 
   /** Returns 2 beside its like only, 1 where nothing serves, and 0 beside other images. */
-  private static int kinship(Task task, Worker worker) {
+  private static int imageAffinity(Task task, Worker worker) {
     if (worker.services().isEmpty()) {
-      return EMPTY;
+      return NO_SERVING_TASKS;
     }
-    boolean strangers =
+    boolean hasOtherImages =
         worker.services().stream().anyMatch(other -> !other.spec.image().equals(task.spec.image()));
-    return strangers ? STRANGE : 2;
+    return hasOtherImages ? OTHER_IMAGES : 2;
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/CandidacyTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CandidacyTest.java
@@ -12,13 +12,13 @@
 
   private static final Capacity SMALL = new Capacity(360, 10_000);
   private static final Capacity LARGE = new Capacity(1_500, 200_000);
-  private static final long GAP = 30_000;
+  private static final long MIN_INTERVAL = 30_000;
 
   /** Sizes. */
   public static class Sizes {
 
     @Test
-    public void areClearlyLargerBeyondTwiceAsMuch() {
+    public void areClearlyLargerAboveTwice() {
       assertTrue(LARGE.clearlyLargerThan(SMALL));
       assertFalse(SMALL.clearlyLargerThan(LARGE));
       assertFalse(new Capacity(720, 20_000).clearlyLargerThan(SMALL));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void surviveAsText() {
+    public void roundTripAsText() {
       assertEquals(Capacity.parse(LARGE.text()), Optional.of(LARGE));
       assertEquals(Capacity.parse("a lot"), Optional.empty());
       assertEquals(Capacity.parse("1 2 3"), Optional.empty());
@@ -46,48 +46,48 @@
   }
 
   /** When the lead is free. */
-  public static class StandingBack {
+  public static class TakeoverDelay {
 
     @Test
-    public void leavesTheLeadToLargerInstancesOnly() {
-      Candidacy small = new Candidacy(SMALL, GAP);
-      assertEquals(small.standBackMillis(LARGE), Candidacy.STAND_BACK_MILLIS);
-      assertEquals(small.standBackMillis(SMALL), 0);
-      assertEquals(new Candidacy(LARGE, GAP).standBackMillis(SMALL), 0);
+    public void waitsForLargerInstancesOnly() {
+      Candidacy small = new Candidacy(SMALL, MIN_INTERVAL);
+      assertEquals(small.takeoverDelayMillis(LARGE), Candidacy.TAKEOVER_DELAY_MILLIS);
+      assertEquals(small.takeoverDelayMillis(SMALL), 0);
+      assertEquals(new Candidacy(LARGE, MIN_INTERVAL).takeoverDelayMillis(SMALL), 0);
     }
   }
 
   /** While a smaller instance leads. */
-  public static class Asking {
+  public static class Requests {
 
     @Test
-    public void asksSmallerLeadersOnly() {
-      assertTrue(new Candidacy(LARGE, GAP).mayAsk(0, 1, SMALL));
-      assertFalse(new Candidacy(LARGE, GAP).mayAsk(0, 1, LARGE));
-      assertFalse(new Candidacy(SMALL, GAP).mayAsk(0, 1, LARGE));
+    public void requestsLeadershipFromSmallerLeadersOnly() {
+      assertTrue(new Candidacy(LARGE, MIN_INTERVAL).mayRequest(0, 1, SMALL));
+      assertFalse(new Candidacy(LARGE, MIN_INTERVAL).mayRequest(0, 1, LARGE));
+      assertFalse(new Candidacy(SMALL, MIN_INTERVAL).mayRequest(0, 1, LARGE));
     }
 
     /**
      * Another instance has asked the leader of this term; the next leader has not been asked yet.
      */
     @Test
-    public void keepsQuietAfterOthersHaveAskedInTheSameTerm() {
-      Candidacy large = new Candidacy(LARGE, GAP);
+    public void sendsNoSecondRequestInTheSameTerm() {
+      Candidacy large = new Candidacy(LARGE, MIN_INTERVAL);
       large.requested(1_000, 7, 3);
       large.requested(20_000, 7, 3);
-      assertFalse(large.mayAsk(1_000 + GAP - 1, 3, SMALL));
-      assertTrue(large.mayAsk(1_000, 4, SMALL));
-      assertTrue(large.mayAsk(1_000 + GAP, 3, SMALL));
+      assertFalse(large.mayRequest(1_000 + MIN_INTERVAL - 1, 3, SMALL));
+      assertTrue(large.mayRequest(1_000, 4, SMALL));
+      assertTrue(large.mayRequest(1_000 + MIN_INTERVAL, 3, SMALL));
     }
 
     /** A leader gave the lead away: for a while one change of leader is enough, in any term. */
     @Test
-    public void keepsQuietAfterLeadersHaveHandedOver() {
-      Candidacy large = new Candidacy(LARGE, GAP);
+    public void sendsNoRequestSoonAfterHandover() {
+      Candidacy large = new Candidacy(LARGE, MIN_INTERVAL);
       large.handedOver(1_000, 7);
       large.handedOver(20_000, 7);
-      assertFalse(large.mayAsk(1_000 + GAP - 1, 4, SMALL));
-      assertTrue(large.mayAsk(1_000 + GAP, 4, SMALL));
+      assertFalse(large.mayRequest(1_000 + MIN_INTERVAL - 1, 4, SMALL));
+      assertTrue(large.mayRequest(1_000 + MIN_INTERVAL, 4, SMALL));
     }
 
     /**
@@ -95,11 +95,11 @@
      * and forth for as long as the reason lasts.
      */
     @Test
-    public void keepsQuietAfterTermsOfItsOwn() {
-      Candidacy large = new Candidacy(LARGE, GAP);
-      large.keepQuiet(1_000);
-      assertFalse(large.mayAsk(1_000 + GAP - 1, 4, SMALL));
-      assertTrue(large.mayAsk(1_000 + GAP, 4, SMALL));
+    public void sendsNoRequestSoonAfterOwnTerm() {
+      Candidacy large = new Candidacy(LARGE, MIN_INTERVAL);
+      large.suppressRequests(1_000);
+      assertFalse(large.mayRequest(1_000 + MIN_INTERVAL - 1, 4, SMALL));
+      assertTrue(large.mayRequest(1_000 + MIN_INTERVAL, 4, SMALL));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/PartitionDetectorTest.java
+++ b/core/src/test/java/org/cottontack/core/job/PartitionDetectorTest.java
@@ -13,28 +13,29 @@
 /** Tests of which data centres a leader counts as on its side of a partition. */
 public class PartitionDetectorTest {
 
-  private static final DataCentreId THERE = new DataCentreId("there");
+  private static final DataCentreId OTHER_DATA_CENTRE = new DataCentreId("there");
 
-  private static List<Worker> workers(String dataCentre, int heard, int silent, int unheard) {
-    return IntStream.range(0, heard + silent + unheard)
+  private static List<Worker> workers(
+      String dataCentre, int answering, int silent, int notYetAnswered) {
+    return IntStream.range(0, answering + silent + notYetAnswered)
         .mapToObj(
             number -> {
               Worker worker = worker(dataCentre, number);
-              worker.everAnswered = number < heard + silent;
-              worker.silent = number >= heard && number < heard + silent;
+              worker.everAnswered = number < answering + silent;
+              worker.silent = number >= answering && number < answering + silent;
               return worker;
             })
         .toList();
   }
 
   private static Worker worker(String dataCentre, int number) {
-    WorkerIncarnation life =
+    WorkerIncarnation incarnation =
         WorkerIncarnation.withUniqueIdentifier(new WorkerId(dataCentre + number));
-    DataCentreId place = new DataCentreId(dataCentre);
-    Resources room = new Resources(1_000, 1_000, 0);
+    DataCentreId dataCentreId = new DataCentreId(dataCentre);
+    Resources capacity = new Resources(1_000, 1_000, 0);
     Worker worker =
         new Worker(
-            new WorkerInfo(life, "pool", "w:1", place, room, List.of(), false),
+            new WorkerInfo(incarnation, "pool", "w:1", dataCentreId, capacity, List.of(), false),
             new Evacuations(),
             0,
             0,
@@ -44,33 +45,34 @@
     return worker;
   }
 
-  private static boolean reaches(List<Worker> there) {
-    List<Worker> here = workers("here", 5, 0, 0);
-    return PartitionDetector.reaches(Stream.concat(here.stream(), there.stream()).toList(), THERE);
+  private static boolean reaches(List<Worker> others) {
+    List<Worker> local = workers("here", 5, 0, 0);
+    return PartitionDetector.reaches(
+        Stream.concat(local.stream(), others.stream()).toList(), OTHER_DATA_CENTRE);
   }
 
   /** Data centres beside the leader's own. */
-  public static class Others {
+  public static class OtherDataCentres {
 
     /**
      * A data centre is cut off. Its instances may reach the store and ask for the lead; the leader,
      * whom none or few of the workers there answer, keeps it.
      */
     @Test
-    public void doesNotReachWhereMostAreSilent() {
+    public void doesNotReachDataCentreWithMostlySilentWorkers() {
       assertFalse(reaches(workers("there", 1, 4, 0)));
       assertTrue(reaches(workers("there", 4, 1, 0)));
     }
 
     /** A new leader has asked and has no answers yet: it cannot tell who is cut off. */
     @Test
-    public void doesNotReachWhomItHasNotHeard() {
+    public void doesNotReachWorkersThatHaveNotAnsweredYet() {
       assertFalse(reaches(workers("there", 0, 0, 5)));
     }
 
     /** Instances may live where no worker is. */
     @Test
-    public void reachesWhereThereIsNobody() {
+    public void reachesDataCentreWithoutWorkers() {
       assertTrue(reaches(List.of()));
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -14,38 +14,39 @@
 public class SharingTest {
 
   /** Paces and places of tasks that fill. */
-  public static class Filling {
+  public static class BestEffortTasks {
 
     private static JobSpec serving(String id, String image) {
       return job(id, step(1, 4, List.of(), 0, image, 18, StepSpec.Trait.LASTS));
     }
 
-    private static JobSpec filling(String id, String image) {
+    private static JobSpec bestEffort(String id, String image) {
       return job(id, step(1, 4, List.of(), 0, image, 0, StepSpec.Trait.FILLS));
     }
 
     /** Runs one serving task of an image for each id. */
-    private static void serve(JobSimulation lab, long workMillis, String... ids) {
-      lab.workMillis = workMillis;
-      List.of(ids).forEach(id -> lab.submit(serving(id, "web")));
-      lab.run(300);
+    private static void serve(JobSimulation simulation, long workMillis, String... ids) {
+      simulation.workMillis = workMillis;
+      List.of(ids).forEach(id -> simulation.submit(serving(id, "web")));
+      simulation.run(300);
     }
 
     /** Has a task that fills work at 4 cores while the tail of the serving task s is as given. */
     private static void harm(
-        JobSimulation lab, SimulatedWorker worker, JobSpec filling, double tail) {
-      lab.submit(filling);
+        JobSimulation simulation, SimulatedWorker worker, JobSpec bestEffort, double tail) {
+      simulation.submit(bestEffort);
       worker.loads.put("s", tail);
-      worker.loads.put(filling.id().value(), 4_000.0);
+      worker.loads.put(bestEffort.id().value(), 4_000.0);
     }
 
     /**
      * Lets time pass in which the tail of s is high while f1 works beside it, and low otherwise.
      */
-    private static void harmWhileBeside(JobSimulation lab, SimulatedWorker worker, long millis) {
+    private static void harmWhileBeside(
+        JobSimulation simulation, SimulatedWorker worker, long millis) {
       for (long passed = 0; passed < millis; passed += 50) {
         worker.loads.put("s", worker.runs(TaskName.parse("f1.0.0.0")) ? 180.0 : 5.0);
-        lab.run(50);
+        simulation.run(50);
       }
     }
 
@@ -54,14 +55,14 @@
      * within the next reports; the users of the serving task see a short bump only.
      */
     @Test
-    public void haltsWhatPushesTailsOverItsBound() {
+    public void haltsRunThatPushesTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_500);
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_500);
       assertTrue(
-          lab.seen.stream()
+          simulation.seen.stream()
               .anyMatch(e -> e instanceof JobEffect.PaceRun pace && pace.percent() == 0));
     }
 
@@ -70,20 +71,20 @@
      * all the same, and no new task that fills joins: it would start at full pace.
      */
     @Test
-    public void oneMilderReportEndsNoAlarm() {
+    public void staysHaltedAfterOneReportBelowTheBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      lab.submit(filling("f", "batch"));
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      simulation.submit(bestEffort("f", "batch"));
       worker.loads.put("f", 0.1);
       worker.loads.put("s", 18.5);
-      lab.run(600);
+      simulation.run(600);
       worker.loads.put("s", 17.0);
-      lab.run(600);
+      simulation.run(600);
       worker.loads.put("s", 18.5);
-      lab.submit(filling("g", "other"));
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
+      simulation.submit(bestEffort("g", "other"));
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
       assertFalse(worker.runs(TaskName.parse("g.0.0.0")));
     }
 
@@ -92,17 +93,17 @@
      * it would start at full pace where there is no room for it. It joins once the tail is low.
      */
     @Test
-    public void nothingJoinsBesideTailOverItsBound() {
+    public void startsNothingBesideTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
       worker.loads.put("s", 18.5);
-      lab.run(1_200);
-      lab.submit(filling("g", "other"));
-      lab.run(1_200);
+      simulation.run(1_200);
+      simulation.submit(bestEffort("g", "other"));
+      simulation.run(1_200);
       assertFalse(worker.runs(TaskName.parse("g.0.0.0")));
       worker.loads.put("s", 5.0);
-      lab.run(1_500);
+      simulation.run(1_500);
       assertTrue(worker.runs(TaskName.parse("g.0.0.0")));
     }
 
@@ -111,18 +112,18 @@
      * again with the next report, until it is answered.
      */
     @Test
-    public void ordersThePaceAgainWhenTheAnswerIsLost() {
+    public void repeatsPaceOrderWhenItsAnswerIsLost() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(500);
-      long before = lab.paces("f.0.0.0");
-      lab.post(
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(500);
+      long before = simulation.paces("f.0.0.0");
+      simulation.post(
           new JobEvent.PaceLost(
               worker.info.incarnation(), new RunKey(TaskName.parse("f.0.0.0"), 1)));
-      lab.run(1_000);
-      assertTrue(lab.paces("f.0.0.0") > before, "orders: " + lab.paces("f.0.0.0"));
+      simulation.run(1_000);
+      assertTrue(simulation.paces("f.0.0.0") > before, "orders: " + simulation.paces("f.0.0.0"));
     }
 
     /**
@@ -130,17 +131,17 @@
      * the tails allow it. Otherwise the run would stand still until its job is given up.
      */
     @Test
-    public void givesPaceBackAfterTakeover() {
+    public void restoresPaceAfterTakeover() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_000);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_000);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
       worker.loads.put("s", 5.0);
-      lab.takeOver();
-      lab.run(3_000);
-      assertEquals(lab.lastPace("f.0.0.0"), Task.FULL_PACE);
+      simulation.takeOver();
+      simulation.run(3_000);
+      assertEquals(simulation.lastPace("f.0.0.0"), Task.FULL_PACE);
     }
 
     /**
@@ -148,16 +149,16 @@
      * protection any more; without an order the run would stand still until its job is given up.
      */
     @Test
-    public void givesPaceBackWhenNothingServesAnyMore() {
+    public void restoresPaceWhenNoServingTaskIsLeft() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
-      lab.post(new JobEvent.JobCancelled(new JobId("s")));
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), Task.FULL_PACE);
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
+      simulation.post(new JobEvent.JobCancelled(new JobId("s")));
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), Task.FULL_PACE);
     }
 
     /**
@@ -165,11 +166,11 @@
      * with its job's urgency; left there, it stood still for as long as other jobs kept coming.
      */
     @Test
-    public void stopsWhatIsHaltedThoughNothingElseHasRoom() {
+    public void stopsHaltedRunThoughNoOtherWorkerHasCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      lab.submit(
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 60_000, "s");
+      simulation.submit(
           job(
               "f",
               step(
@@ -183,10 +184,10 @@
                   StepSpec.Trait.CHECKPOINTS)));
       worker.loads.put("s", 200.0);
       worker.loads.put("f", 4_000.0);
-      lab.run(4_000);
+      simulation.run(4_000);
       assertFalse(worker.runs(TaskName.parse("f.0.0.0")));
       assertTrue(
-          lab.seen.stream()
+          simulation.seen.stream()
               .anyMatch(
                   e ->
                       e instanceof JobEffect.StopRun stop
@@ -197,14 +198,14 @@
     public void packsServingTasksOfOneImage() {
       SimulatedWorker first = new SimulatedWorker("w1", 16);
       SimulatedWorker second = new SimulatedWorker("w2", 16);
-      JobSimulation lab = lab(first, second);
-      lab.workMillis = 60_000;
-      lab.submit(serving("s1", "web"));
-      lab.run(200);
-      lab.submit(serving("s2", "mail"));
-      lab.run(200);
-      lab.submit(serving("s3", "web"));
-      lab.run(200);
+      JobSimulation simulation = lab(first, second);
+      simulation.workMillis = 60_000;
+      simulation.submit(serving("s1", "web"));
+      simulation.run(200);
+      simulation.submit(serving("s2", "mail"));
+      simulation.run(200);
+      simulation.submit(serving("s3", "web"));
+      simulation.run(200);
       SimulatedWorker web = first.runs(TaskName.parse("s1.0.0.0")) ? first : second;
       assertTrue(web.runs(TaskName.parse("s3.0.0.0")));
       assertFalse(web.runs(TaskName.parse("s2.0.0.0")));
@@ -215,15 +216,15 @@
      * gets a place: its caller would otherwise see it wait for ever beside free workers.
      */
     @Test
-    public void harmfulImagesRunWhereMostIsFree() {
+    public void runsHarmfulImageWherePoolIsLightlyReserved() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 3_000, "s");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      lab.run(3_500);
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 3_000, "s");
+      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      simulation.run(3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertTrue(worker.runs(TaskName.parse("f2.0.0.0")));
     }
 
@@ -232,15 +233,15 @@
      * harmful image goes on waiting for a harmless place.
      */
     @Test
-    public void anotherIdlePoolMakesNoRoom() {
+    public void keepsHarmfulImageWaitingThoughAnotherPoolIsIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
-      serve(lab, 3_000, "s", "t", "u");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      harmWhileBeside(lab, worker, 3_500);
+      JobSimulation simulation = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
+      serve(simulation, 3_000, "s", "t", "u");
+      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      harmWhileBeside(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertFalse(worker.runs(TaskName.parse("f2.0.0.0")));
     }
 
@@ -249,18 +250,18 @@
      * for another worker instead of joining the serving task again.
      */
     @Test
-    public void keepsPairsApartOnceKnownToHurt() {
+    public void separatesPairsKnownToInterfere() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 3_000, "s", "t", "u");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      harmWhileBeside(lab, worker, 3_500);
+      JobSimulation simulation = lab(worker);
+      serve(simulation, 3_000, "s", "t", "u");
+      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      harmWhileBeside(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertFalse(worker.runs(TaskName.parse("f2.0.0.0")));
-      lab.submit(filling("f3", "harmless"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f3", "harmless"));
+      simulation.run(1_000);
       assertTrue(worker.runs(TaskName.parse("f3.0.0.0")));
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
@@ -27,8 +27,8 @@
             .toArray(SimulatedWorker[]::new));
   }
 
-  private static long running(JobSimulation lab, String id) {
-    return lab.workers.values().stream().mapToLong(worker -> running(worker, id)).sum();
+  private static long running(JobSimulation simulation, String id) {
+    return simulation.workers.values().stream().mapToLong(worker -> running(worker, id)).sum();
   }
 
   private static long running(SimulatedWorker worker, String id) {
@@ -40,44 +40,44 @@
 
   /** Services hold 48 of 64 cores; short tasks then held the other 16 a moment ago. */
   private static JobSimulation busy() {
-    JobSimulation lab = fleet();
-    lab.workMillis = 300_000;
-    lab.submit(service("old", 12, 4));
-    lab.run(500);
-    lab.workMillis = 500;
-    lab.submit(job("short", step(4, 4, List.of())));
-    lab.run(1_500);
-    return lab;
+    JobSimulation simulation = fleet();
+    simulation.workMillis = 300_000;
+    simulation.submit(service("old", 12, 4));
+    simulation.run(500);
+    simulation.workMillis = 500;
+    simulation.submit(job("short", step(4, 4, List.of())));
+    simulation.run(1_500);
+    return simulation;
   }
 
   /** New services. */
-  public static class Beginning {
+  public static class NewServices {
 
     /**
      * Services hold three quarters of the processors and short tasks need the rest again and again.
      * A service that begins now would keep them out for minutes; it waits.
      */
     @Test
-    public void waitsWhileShortTasksNeedTheRoom() {
-      JobSimulation lab = busy();
-      lab.workMillis = 300_000;
-      lab.submit(service("new", 4, 4));
-      lab.run(5_000);
-      assertEquals(running(lab, "new"), 0);
-      lab.workMillis = 500;
-      lab.submit(job("next", step(4, 4, List.of())));
-      lab.run(200);
-      assertEquals(running(lab, "next"), 4);
+    public void waitWhileShortTasksNeedCapacity() {
+      JobSimulation simulation = busy();
+      simulation.workMillis = 300_000;
+      simulation.submit(service("new", 4, 4));
+      simulation.run(5_000);
+      assertEquals(running(simulation, "new"), 0);
+      simulation.workMillis = 500;
+      simulation.submit(job("next", step(4, 4, List.of())));
+      simulation.run(200);
+      assertEquals(running(simulation, "next"), 4);
     }
 
     /** Short tasks no longer come: their last peak is forgotten, and the service begins. */
     @Test
-    public void beginsOnceThePeakIsForgotten() {
-      JobSimulation lab = busy();
-      lab.workMillis = 300_000;
-      lab.submit(service("new", 1, 4));
-      lab.run(12_000);
-      assertEquals(running(lab, "new"), 1);
+    public void beginOnceThePeakHasDecayed() {
+      JobSimulation simulation = busy();
+      simulation.workMillis = 300_000;
+      simulation.submit(service("new", 1, 4));
+      simulation.run(12_000);
+      assertEquals(running(simulation, "new"), 1);
     }
 
     /**
@@ -85,38 +85,38 @@
      * it wait beside a fleet that is half idle, so it begins at once.
      */
     @Test
-    public void beginsWhereLittleIsReserved() {
-      JobSimulation lab = fleet();
-      lab.submit(job("short", step(16, 4, List.of())));
-      lab.run(1_500);
-      lab.workMillis = 300_000;
-      lab.submit(service("new", 4, 4));
-      lab.run(300);
-      assertEquals(running(lab, "new"), 4);
+    public void beginWhereLittleIsReserved() {
+      JobSimulation simulation = fleet();
+      simulation.submit(job("short", step(16, 4, List.of())));
+      simulation.run(1_500);
+      simulation.workMillis = 300_000;
+      simulation.submit(service("new", 4, 4));
+      simulation.run(300);
+      assertEquals(running(simulation, "new"), 4);
     }
   }
 
   /** Services that ran before. */
-  public static class ComingBack {
+  public static class RestartedServices {
 
     /**
      * A worker is lost with four tasks of a service. Its users miss them, so they come back as soon
      * as the worker's leases have ended, though that leaves short tasks less than they need.
      */
     @Test
-    public void returnsThoughShortTasksNeedTheRoom() {
-      JobSimulation lab = busy();
+    public void restartThoughShortTasksNeedCapacity() {
+      JobSimulation simulation = busy();
       SimulatedWorker lost =
-          lab.workers.values().stream()
+          simulation.workers.values().stream()
               .filter(worker -> running(worker, "old") > 0)
               .findFirst()
               .orElseThrow();
-      lab.workMillis = 300_000;
-      final long before = running(lab, "old");
+      simulation.workMillis = 300_000;
+      final long before = running(simulation, "old");
       lost.dead = true;
-      lab.post(new JobEvent.WorkerUnlisted(lost.info.incarnation()));
-      lab.run(12_000);
-      assertEquals(running(lab, "old") - running(lost, "old"), before);
+      simulation.post(new JobEvent.WorkerUnlisted(lost.info.incarnation()));
+      simulation.run(12_000);
+      assertEquals(running(simulation, "old") - running(lost, "old"), before);
     }
   }
 
@@ -133,7 +133,7 @@
      * ten. Services get nine tenths of the time that they ask for.
      */
     @Test
-    public void shortJobsFindRoomBesideServices() {
+    public void shortJobsFindCapacityBesideServices() {
       ReplayOutcome mean = Replay.mean(ReplayShape.usual().sharing(SERVICES, HARMFUL), SEEDS);
       assertTrue(mean.shorts() > 0.9, mean.toString());
       assertTrue(mean.serving() > 0.9, mean.toString());
--- a/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
+++ b/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
@@ -25,7 +25,7 @@
     return job;
   }
 
-  private static Job lasting(String id, long arrivedMillis) {
+  private static Job longRunning(String id, long arrivedMillis) {
     Job job = new Job(job(id, 4, 0, StepSpec.Trait.LASTS), arrivedMillis);
     job.advance(0);
     return job;
@@ -67,12 +67,12 @@
      */
     @Test
     public void newServicesAfterShortJobs() {
-      Job running = lasting("running", 19_000);
+      Job running = longRunning("running", 19_000);
       running.begun = true;
       List<Job> jobs =
           List.of(
-              lasting("new", 19_000),
-              lasting("waited", 9_000),
+              longRunning("new", 19_000),
+              longRunning("waited", 9_000),
               waiting("hopeless", 4, 1_000, 0),
               waiting("short", 4, 1_000, 19_500),
               running);
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -96,7 +96,7 @@
         request(rows).filter(request -> request.epoch() == epoch).map(Request::capacity);
     return Stream.of(capacity(rows.get(CAPACITY)), asked)
         .flatMap(Optional::stream)
-        .mapToLong(candidacy::standBackMillis)
+        .mapToLong(candidacy::takeoverDelayMillis)
         .max()
         .orElse(0);
   }
@@ -120,7 +120,7 @@
     if (!hears || !mayAsk(nowMillis, epoch, held)) {
       return Optional.empty();
     }
-    candidacy.asking(nowMillis, epoch);
+    candidacy.requesting(nowMillis, epoch);
     Request request = new Request(epoch, instance.capacity(), instance.dataCentre());
     return Optional.of(
         new Transaction(
@@ -130,7 +130,9 @@
   }
 
   private boolean mayAsk(long nowMillis, long epoch, Row held) {
-    return capacity(held).filter(leader -> candidacy.mayAsk(nowMillis, epoch, leader)).isPresent();
+    return capacity(held)
+        .filter(leader -> candidacy.mayRequest(nowMillis, epoch, leader))
+        .isPresent();
   }
 
   private static Optional<Capacity> capacity(Row row) {
@@ -179,6 +181,6 @@
   /** Ends a term. */
   void ended(long nowMillis) {
     heard = Optional.empty();
-    candidacy.keepQuiet(nowMillis);
+    candidacy.suppressRequests(nowMillis);
   }
 }
