--- a/core/src/main/java/org/cottontack/core/Effect.java
+++ b/core/src/main/java/org/cottontack/core/Effect.java
@@ -1,7 +1,7 @@
 package org.cottontack.core;
 
 /**
- * Something to be done outside: an output of the reducer, carried out by the process around it.
+ * Something to be carried out by the process around the reducer: an output of the reducer.
  * Implementations are immutable.
  */
 public interface Effect {
@@ -15,23 +15,23 @@
   record After(long millis, Event event) implements Effect {}
 
   /**
-   * Feeds an event to the reducer again within the same call; never leaves the core.
+   * Reduces another event within the same call. It never leaves the core.
    *
    * @param event the event to reduce next
    */
   record Raise(Event event) implements Effect {}
 
   /**
-   * Writes one line to the log and to the time line.
+   * Writes one line to the log and to the timeline.
    *
    * @param name a stable event name such as {@code task.placed}
-   * @param subject what it is about, such as a task or request identifier
+   * @param subject the subject, such as a task or request identifier
    * @param detail one line of context
    */
   record Note(String name, String subject, String detail) implements Effect {}
 
   /**
-   * Ends this process because it may no longer act.
+   * Ends this process because it is no longer allowed to act.
    *
    * @param reason one line for the log
    */
--- a/core/src/main/java/org/cottontack/core/Scheduler.java
+++ b/core/src/main/java/org/cottontack/core/Scheduler.java
@@ -12,8 +12,8 @@
 import org.cottontack.core.task.TaskReducer;
 
 /**
- * The one reducer over all events. It is a pure function: it reads no clock, draws no random number
- * and does no input or output, so that any run can be replayed from its events.
+ * The reducer for all events. It is a pure function: it reads no clock, draws no random number and
+ * does no input or output, so any run can be replayed from its events.
  */
 public final class Scheduler {
 
@@ -29,12 +29,12 @@
   private Scheduler() {}
 
   /**
-   * Reduces one event, and the events it raises inside the core, in order.
+   * Reduces one event, and then the events that it raises inside the core, in order.
    *
-   * @param before the state before
+   * @param before the state before the event
    * @param now the time of the event
    * @param event what happened
-   * @return the state after and the effects that leave the core
+   * @return the state after the event and the effects that leave the core
    */
   public static Step reduce(State before, Moment now, Event event) {
     State state = before.at(now);
--- a/core/src/main/java/org/cottontack/core/Settings.java
+++ b/core/src/main/java/org/cottontack/core/Settings.java
@@ -4,18 +4,20 @@
 import org.cottontack.core.id.InstanceId;
 
 /**
- * What the core needs to know about its process. All times are milliseconds.
+ * The settings of a process that the core uses. All times are in milliseconds.
  *
- * @param self this incarnation
- * @param dataCentre the data centre this instance stands in
+ * @param self this incarnation of the process
+ * @param dataCentre the data centre of this instance
  * @param address where other entry instances reach this one, {@code host:port}
  * @param leaseMillis how long ownership lasts after a renewal was sent
- * @param driftMargin added by observers to every wait on another process's lease
- * @param cutHorizon how long promises of the other members may stand in for the store
- * @param orderLifetime how long an order may be under way before the receiver must refuse it
- * @param taskLease how long a worker runs a task without word from its owner
- * @param batchGap least time between two writes to the store
- * @param maxQueued most requests held in this process; more are refused at once
+ * @param driftMargin margin for clock drift, which observers add to every wait for another
+ *     process's lease to end
+ * @param cutHorizon how long promises of the other members may replace a renewal in the store
+ * @param orderLifetime how long an order may be in flight before the receiver must refuse it
+ * @param taskLease how long a worker runs a task without a message from the task's owner
+ * @param batchGap minimum time between two writes to the store
+ * @param maxQueued maximum number of requests held in this process; further requests are refused
+ *     immediately
  */
 public record Settings(
     InstanceId self,
--- a/core/src/main/java/org/cottontack/core/Step.java
+++ b/core/src/main/java/org/cottontack/core/Step.java
@@ -9,7 +9,7 @@
  * The result of reducing one event.
  *
  * @param state the state after the event
- * @param effects what is to be done, in order
+ * @param effects the effects to carry out, in order
  */
 public record Step(State state, List<Effect> effects) {
 
@@ -34,7 +34,9 @@
     return new Step(state, concat(effects, List.of(more)));
   }
 
-  /** Folds {@code items} over a state, one step each. */
+  /**
+   * Applies {@code each} to the items in order, starting from a state, and collects the effects.
+   */
   public static <T> Step fold(State start, Iterable<T> items, BiFunction<State, T, Step> each) {
     List<Effect> effects = new ArrayList<>();
     State state = start;
--- a/core/src/main/java/org/cottontack/core/job/Candidacy.java
+++ b/core/src/main/java/org/cottontack/core/job/Candidacy.java
@@ -1,14 +1,16 @@
 package org.cottontack.core.job;
 
 /**
- * What an instance does about the lead where instances differ in size: whether it stands back when
- * the lead is free, and when it asks a smaller leader for it. By its own steady clock.
+ * Decides when an instance seeks leadership, where instances differ in size: how long it leaves a
+ * vacant leadership to larger instances, and when it requests leadership from a smaller leader. All
+ * times are on its own steady clock.
  */
 public final class Candidacy {
 
   /**
-   * Head start of larger instances when the lead is free, in milliseconds: over twice the 150 ms by
-   * which they spread their takeovers, and a sixth of what a takeover takes anyway.
+   * Delay before an instance takes over a vacant leadership that a larger one may take, in
+   * milliseconds. It is more than twice the 150 ms over which instances spread their takeovers, and
+   * a sixth of the time that a takeover takes anyway.
    */
   public static final long TAKEOVER_DELAY_MILLIS = 400;
 
@@ -21,11 +23,11 @@
   private long suppressedUntilMillis = Long.MIN_VALUE;
 
   /**
-   * Creates the candidacy of an instance that has seen no request for the lead.
+   * Creates the candidacy of an instance that has seen no request for leadership.
    *
-   * @param own what the instance has for leading
-   * @param minIntervalMillis least time from a hand-over, an own term, or a request in the same
-   *     term to the next request
+   * @param own the capacity of this instance
+   * @param minIntervalMillis minimum time from a handover, from the end of an own term, or from a
+   *     request in the same term to the next request
    */
   public Candidacy(Capacity own, long minIntervalMillis) {
     this.own = own;
@@ -33,20 +35,20 @@
   }
 
   /**
-   * Returns how long this instance leaves a free lead to another, in milliseconds. The other is the
-   * last leader, or who asked it for the lead: where no larger instance is left, the wait is paid
-   * once.
+   * Returns how long this instance leaves a vacant leadership to another instance, in milliseconds.
+   * The other instance is the last leader, or the one that requested leadership from it. Where no
+   * larger instance is left, the delay therefore occurs only once.
    */
   public long takeoverDelayMillis(Capacity other) {
     return other.clearlyLargerThan(own) ? TAKEOVER_DELAY_MILLIS : 0;
   }
 
   /**
-   * Takes in a request that lies in the store.
+   * Records a request that was read from the store.
    *
-   * @param nowMillis our steady clock
-   * @param version its version
-   * @param epoch the term that it holds for
+   * @param nowMillis the present time on this instance's steady clock
+   * @param version the version of the request
+   * @param epoch the term for which the request was made
    */
   public void requested(long nowMillis, long version, long epoch) {
     if (version != requestVersion) {
@@ -55,17 +57,17 @@
     }
   }
 
-  /** Takes in that this instance asks for the lead in a term. */
+  /** Records that this instance requests leadership in a term. */
   public void requesting(long nowMillis, long epoch) {
     requestEpoch = epoch;
     requestUntilMillis = nowMillis + minIntervalMillis;
   }
 
   /**
-   * Takes in a hand-over that lies in the store.
+   * Records a handover that was read from the store.
    *
-   * @param nowMillis our steady clock
-   * @param version its version
+   * @param nowMillis the present time on this instance's steady clock
+   * @param version the version of the handover
    */
   public void handedOver(long nowMillis, long version) {
     if (version != handOverVersion) {
@@ -75,20 +77,20 @@
   }
 
   /**
-   * Asks for nothing for a while. An instance that has just lost the lead would get it back, lose
-   * it again for the same reason, and each change stops all starts: nothing would run for most of
-   * the time.
+   * Suppresses requests for the minimum interval. An instance that has just lost leadership would
+   * get it back and lose it again for the same reason. Each change of leader stops all starts, so
+   * nothing would run for most of the time.
    */
   public void suppressRequests(long nowMillis) {
     suppressedUntilMillis = nowMillis + minIntervalMillis;
   }
 
   /**
-   * Returns whether this instance should ask for the lead.
+   * Returns whether this instance should request leadership.
    *
-   * @param nowMillis our steady clock
-   * @param epoch the leader's term; one request a term is enough, and a new leader has none yet
-   * @param leader what the leader has
+   * @param nowMillis the present time on this instance's steady clock
+   * @param epoch the leader's term; one request per term is enough, and a new leader has none yet
+   * @param leader the capacity of the leader
    */
   public boolean mayRequest(long nowMillis, long epoch, Capacity leader) {
     boolean alreadyRequested = epoch == requestEpoch && nowMillis < requestUntilMillis;
--- a/core/src/main/java/org/cottontack/core/job/Capacity.java
+++ b/core/src/main/java/org/cottontack/core/job/Capacity.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * What an instance has for leading: decisions take processor time, a takeover reads all open jobs
- * over the link.
+ * The resources of an instance that matter for leadership: decisions take processor time, and a
+ * takeover reads all open jobs over the network link.
  *
- * @param processorMillis its processor, in thousandths of a core
- * @param linkKilobits its own link, in kilobits a second
+ * @param processorMillis processor time, in thousandths of a core
+ * @param linkKilobits bandwidth of its own link, in kilobits per second
  */
 public record Capacity(long processorMillis, long linkKilobits) {
 
   /**
-   * How many times as much is clearly more, as a factor: a change of leader stops all starts for
-   * some hundred milliseconds, which a smaller gain does not bring back.
+   * Factor above which a capacity is clearly larger. A change of leader stops all starts for some
+   * hundred milliseconds, which a smaller gain does not make up for.
    */
   private static final int CLEAR_RATIO = 2;
 
   /**
-   * Reads what {@link #text} has written.
+   * Parses the output of {@link #text}.
    *
-   * @return nothing when the text is none of ours
+   * @return empty when the text has another form
    */
   public static Optional<Capacity> parse(String text) {
     String[] fields = text.split(" ", -1);
@@ -35,7 +35,8 @@
   }
 
   /**
-   * Returns whether this is clearly more: more than twice as much of one, and no less of the other.
+   * Returns whether this capacity is clearly larger: more than twice as much in one component, and
+   * no less in the other.
    */
   public boolean clearlyLargerThan(Capacity other) {
     boolean noLess = processorMillis >= other.processorMillis && linkKilobits >= other.linkKilobits;
@@ -44,7 +45,7 @@
             || linkKilobits > CLEAR_RATIO * other.linkKilobits);
   }
 
-  /** Returns both figures as text, a blank between them. */
+  /** Returns both numbers as text, separated by a space. */
   public String text() {
     return processorMillis + " " + linkKilobits;
   }
--- a/core/src/main/java/org/cottontack/core/job/Evacuations.java
+++ b/core/src/main/java/org/cottontack/core/job/Evacuations.java
@@ -7,25 +7,26 @@
 import org.cottontack.core.id.DataCentreId;
 
 /**
- * The data centres that an operator empties. Their workers get no new runs, whatever room they
- * have; what runs there goes on to its end, and lasting tasks stay: moved, each of them would be
- * away from its users for the time that it takes to start, and may find no room elsewhere.
+ * The data centres under evacuation by an operator. Their workers get no new runs, even when they
+ * have free capacity. Present runs continue until they end. Long-running tasks stay too: if they
+ * were moved, each of them would be absent for the time that it takes to start, and there might be
+ * no capacity for it elsewhere.
  */
 final class Evacuations {
 
   private final Map<DataCentreId, Long> sinceMillis = new TreeMap<>();
 
-  /** Returns whether a data centre is being emptied. */
+  /** Returns whether a data centre is under evacuation. */
   boolean contains(DataCentreId dataCentre) {
     return sinceMillis.containsKey(dataCentre);
   }
 
-  /** Returns the data centres that are being emptied. */
+  /** Returns the data centres under evacuation. */
   Set<DataCentreId> all() {
     return Set.copyOf(sinceMillis.keySet());
   }
 
-  /** Takes in that the evacuation of a data centre has become known. */
+  /** Records that the evacuation of a data centre has become known. */
   void begin(DataCentreId dataCentre, long nowMillis) {
     sinceMillis.putIfAbsent(dataCentre, nowMillis);
   }
@@ -36,7 +37,7 @@
     return since == null ? 0 : nowMillis - since;
   }
 
-  /** Returns what still runs in a data centre, for logs. */
+  /** Returns the number of workers and of their placed tasks in a data centre, for logs. */
   static String remaining(Collection<Worker> workers, DataCentreId dataCentre) {
     long workerCount = workers.stream().filter(worker -> worker.isIn(dataCentre)).count();
     long runs =
--- a/core/src/main/java/org/cottontack/core/job/Job.java
+++ b/core/src/main/java/org/cottontack/core/job/Job.java
@@ -5,7 +5,7 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** A job's progress; confined to {@link JobScheduler}. */
+/** The progress of a job; confined to {@link JobScheduler}. */
 final class Job {
 
   /** One repetition of a job. */
@@ -40,7 +40,7 @@
   final JobSpec spec;
   final long arrivedMillis;
 
-  /** Starts of any job that its leader knows to be ignored. */
+  /** Ignored starts of all jobs of the leader. */
   final IgnoredStarts ignoredStarts;
 
   final List<Occurrence> occurrences = new ArrayList<>();
@@ -51,14 +51,14 @@
     this(spec, arrivedMillis, new IgnoredStarts());
   }
 
-  /** Creates a job that shares with others what is known of starts. */
+  /** Creates a job that shares the record of ignored starts with other jobs. */
   Job(JobSpec spec, long arrivedMillis, IgnoredStarts ignoredStarts) {
     this.spec = spec;
     this.arrivedMillis = arrivedMillis;
     this.ignoredStarts = ignoredStarts;
   }
 
-  /** Creates the occurrences whose time has come. */
+  /** Creates the occurrences that have become due, and returns whether there were any. */
   boolean advance(long wallMillis) {
     int before = occurrences.size();
     while (occurrences.size() < spec.schedule().occurrences()
@@ -72,7 +72,7 @@
     return occurrences.stream().flatMap(o -> o.steps.stream()).flatMap(List::stream);
   }
 
-  /** Returns its phase and how many of its runs are placed, for a log line. */
+  /** Returns the phase and the number of placed runs, for a log line. */
   String describe() {
     long placed = tasks().filter(task -> task.phase == Task.Phase.PLACED).count();
     return phase + " placed=" + placed;
@@ -97,7 +97,7 @@
         && name.index() < spec.steps().get(step).count();
   }
 
-  /** Returns the tasks that may start now. */
+  /** Returns the waiting tasks whose preceding steps are done. */
   Stream<Task> ready() {
     return occurrences.stream()
         .flatMap(
--- a/core/src/main/java/org/cottontack/core/job/JobEffect.java
+++ b/core/src/main/java/org/cottontack/core/job/JobEffect.java
@@ -2,16 +2,16 @@
 
 import java.util.Map;
 
-/** Something to be done outside: an output of {@link JobScheduler}, as data. */
+/** Something to be carried out by the process around {@link JobScheduler}: an output, as data. */
 public sealed interface JobEffect {
 
   /**
    * Writes the progress of jobs in one transaction, and answers with {@link
-   * JobEvent.ProgressSaved}. There is at most one under way.
+   * JobEvent.ProgressSaved}. At most one such write is in flight.
    *
    * @param progress the stored form of each job's progress
-   * @param learned what the next leader should know of images and queues; empty when it was written
-   *     a short while ago
+   * @param learned estimates for images and queues, stored for the next leader; empty when they
+   *     were written a short while ago
    */
   record SaveProgress(Map<JobId, String> progress, String learned) implements JobEffect {
 
@@ -24,41 +24,41 @@
   /**
    * Starts a run.
    *
-   * @param target on which worker
+   * @param target the worker
    * @param run the run
    * @param payload the job's opaque text
-   * @param deadlineMillis when the order ends, on the worker's clock, which refuses it afterwards;
-   *     what it starts has a lease until then at least
-   * @param checkpoint where to resume from, empty to start afresh
+   * @param deadlineMillis when the order expires, on the worker's clock; the worker refuses it
+   *     afterwards, and the lease of the started run lasts at least until then
+   * @param checkpoint where to resume from; empty to start from the beginning
    */
   record StartRun(
       OrderTarget target, RunKey run, String payload, long deadlineMillis, String checkpoint)
       implements JobEffect {}
 
-  /** Stops a run, and bars it from starting later. */
+  /** Stops a run, and keeps it from starting later. */
   record StopRun(OrderTarget target, RunKey run) implements JobEffect {}
 
   /**
-   * Renews the lease of all that runs on a worker and asks what runs there.
+   * Polls a worker: renews the lease of all its runs and asks for its report.
    *
    * @param target the worker
-   * @param leaseEndMillis new end of the lease on the worker's clock; 0 leaves it
-   * @param acknowledged ends up to this number need not be reported again
-   * @param waitMillis how long the worker may wait for an end before it answers
+   * @param leaseEndMillis new end of the lease, on the worker's clock; 0 leaves it unchanged
+   * @param acknowledged completions up to this number need not be reported again
+   * @param waitMillis how long the worker may wait for a completion before it answers
    */
   record LookAtWorker(OrderTarget target, long leaseEndMillis, long acknowledged, long waitMillis)
       implements JobEffect {}
 
-  /** Lets a run use a share of its speed. */
+  /** Sets the pace of a run: the share of full speed that it may use, in percent. */
   record PaceRun(OrderTarget target, RunKey run, int percent) implements JobEffect {}
 
-  /** A job no longer waits for its first start. */
+  /** Reports that a job no longer waits for its first start. */
   record Begun(JobId job) implements JobEffect {}
 
-  /** Gives the lead to an instance that may reach more workers. */
+  /** Hands leadership over to an instance that may reach more workers. */
   record HandOver(String reason) implements JobEffect {}
 
-  /** Gives up leading: a worker has seen a newer leader. */
+  /** Ends this leader's term because a worker has seen a newer leader. */
   record StepDown(String reason) implements JobEffect {}
 
   /** Writes one log line. */
--- a/core/src/main/java/org/cottontack/core/job/JobEvent.java
+++ b/core/src/main/java/org/cottontack/core/job/JobEvent.java
@@ -11,9 +11,10 @@
   record TableChanged(JobTable table) implements JobEvent {}
 
   /**
-   * The data centres whose workers are to get nothing new.
+   * The set of data centres under evacuation has changed. Their workers get no new runs.
    *
-   * @param dataCentres all of them; those named before and not now are taken back
+   * @param dataCentres all of them; the evacuation of a data centre that is no longer in the set
+   *     has ended
    */
   record DataCentresEvacuated(Set<DataCentreId> dataCentres) implements JobEvent {
 
@@ -23,13 +24,13 @@
     }
   }
 
-  /** A job was accepted; repeated news of one job is ignored. */
+  /** A job was accepted. Repeated events for one job are ignored. */
   record JobArrived(JobSpec job) implements JobEvent {}
 
-  /** A job was read back after a change of leader, with its stored progress. */
+  /** A job was read from the store after a change of leader, with its stored progress. */
   record JobRecovered(JobSpec job, String progress) implements JobEvent {}
 
-  /** What an earlier leader has learned was read back. */
+  /** The stored estimates of an earlier leader were read. */
   record LearnedRecovered(String learned) implements JobEvent {}
 
   /** A caller cancelled a job. */
@@ -41,42 +42,49 @@
   /** A worker's registration is gone; the worker itself may still run. */
   record WorkerUnlisted(WorkerIncarnation worker) implements JobEvent {}
 
-  /** A worker answered a look; {@code sentMillis} is when it was asked, on our steady clock. */
+  /**
+   * A worker answered a poll. {@code sentMillis} is when the poll was sent, on this leader's steady
+   * clock.
+   */
   record WorkerReported(WorkerIncarnation worker, long sentMillis, WorkerReport report)
       implements JobEvent {}
 
-  /** A look at a worker got no answer. */
+  /** A poll of a worker got no answer. */
   record WorkerSilent(WorkerIncarnation worker) implements JobEvent {}
 
-  /** Another life of the worker answers at its address, so this one and its runs are gone. */
+  /**
+   * Another incarnation of the worker answers at its address, so this incarnation and its runs no
+   * longer exist.
+   */
   record WorkerReborn(WorkerIncarnation worker) implements JobEvent {}
 
-  /** A worker refused a look since it has seen a higher fencing token. */
+  /** A worker refused a poll because it has seen a higher fencing token. */
   record WorkerFenced(WorkerIncarnation worker) implements JobEvent {}
 
-  /** An order to start a run was answered or lost. */
+  /** A start order was answered, or its answer was lost. */
   record StartEnded(WorkerIncarnation worker, RunKey run, StartResult result) implements JobEvent {}
 
-  /** An order to stop a run was answered or lost. */
+  /** A stop order was answered, or its answer was lost. */
   record StopEnded(WorkerIncarnation worker, RunKey run, boolean answered) implements JobEvent {}
 
-  /** An order to pace a run got no answer, so the run's pace is not known. */
+  /** An order to pace a run got no answer, so the run's pace is unknown. */
   record PaceLost(WorkerIncarnation worker, RunKey run) implements JobEvent {}
 
   /** The last {@link JobEffect.SaveProgress} is in the store. */
   record ProgressSaved() implements JobEvent {}
 
   /**
-   * News has come with which work may be started for some time.
+   * The leader's information is fresh, so runs may be started for a limited time.
    *
-   * @param untilMillis when nothing may begin any more by what is known, on our steady clock
+   * @param untilMillis when runs may no longer begin without fresher information, on this leader's
+   *     steady clock
    */
   record StartsBounded(long untilMillis) implements JobEvent {}
 
   /**
    * Time has passed.
    *
-   * @param renewal when the last renewal of the leader's lease that is in the store was sent
+   * @param renewal when the last stored renewal of the leader's lease was sent
    */
   record Tick(Moment renewal) implements JobEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/job/JobId.java
+++ b/core/src/main/java/org/cottontack/core/job/JobId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 /**
- * A job's identifier, chosen by the caller so that a repeated submission is recognised.
+ * A job's identifier. The caller chooses it so that a repeated submission is recognised.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/job/JobPhase.java
+++ b/core/src/main/java/org/cottontack/core/job/JobPhase.java
@@ -1,16 +1,16 @@
 package org.cottontack.core.job;
 
-/** How far a job has come. */
+/** The phase of a job. */
 public enum JobPhase {
   /** No task has started. */
   QUEUED('q', false),
   /** Some task has started. */
   RUNNING('r', false),
-  /** All tasks have ended as done. */
+  /** All tasks are done. */
   COMPLETE('c', true),
   /** A task has failed as often as its queue allows. */
   FAILED('f', true),
-  /** The caller cancelled it. */
+  /** The caller cancelled the job. */
   CANCELLED('x', true);
 
   private final char code;
@@ -21,20 +21,20 @@
     this.terminal = terminal;
   }
 
-  /** Returns the letter that stands for it in the store. */
+  /** Returns the letter that represents the phase in the store. */
   char code() {
     return code;
   }
 
-  /** Returns whether nothing follows. */
+  /** Returns whether no other phase can follow. */
   public boolean terminal() {
     return terminal;
   }
 
   /**
-   * Returns the phase of a letter.
+   * Returns the phase that a letter represents.
    *
-   * @throws IllegalArgumentException when there is none
+   * @throws IllegalArgumentException when no phase has the letter
    */
   static JobPhase of(char code) {
     for (JobPhase phase : values()) {
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -8,10 +8,10 @@
 import org.cottontack.core.id.DataCentreId;
 
 /**
- * The decisions of one leader's term: which task runs on which worker. A placement is stored before
- * its start order leaves, and an end is acknowledged to its worker only after it is stored, so that
- * the next leader finds all it needs in the store and on the workers. It reads no clock and does no
- * input or output; confined to one thread.
+ * Decides, during one leader's term, which task runs on which worker. A placement is stored before
+ * its start order is sent, and a completion is acknowledged to its worker only after it is stored.
+ * The next leader therefore finds all the state that it needs in the store and on the workers. This
+ * class reads no clock, does no input or output, and is confined to one thread.
  */
 public final class JobScheduler {
 
@@ -28,18 +28,18 @@
   /**
    * Begins a term.
    *
-   * @param timing waits and lease lengths
+   * @param timing delays and lease lengths
    * @param table the rules in force
    * @param start when the term began
-   * @param inheritedLeaseEndMillis the steady time at which every lease that earlier leaders gave
-   *     to workers has ended
+   * @param inheritedLeaseEndMillis when all leases that earlier leaders gave to workers have ended,
+   *     on this leader's steady clock
    */
   public JobScheduler(
       JobTiming timing, JobTable table, Moment start, long inheritedLeaseEndMillis) {
     this(timing, table, start, inheritedLeaseEndMillis, new LearnedInterference());
   }
 
-  /** Begins a term with what is known of how tasks slow each other. */
+  /** Begins a term with a model of how tasks slow each other. */
   JobScheduler(
       JobTiming timing,
       JobTable table,
@@ -63,11 +63,11 @@
   }
 
   /**
-   * Takes one event in and decides.
+   * Handles one event, then places tasks and saves progress.
    *
    * @param moment the time of the event
    * @param event what happened
-   * @return what is to be done, in order
+   * @return the effects to carry out, in order
    */
   public List<JobEffect> reduce(Moment moment, JobEvent event) {
     List<JobEffect> effects = new ArrayList<>(handle(moment, event));
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Takes one event in and leaves placing and saving to {@link #decide}. After a takeover hundreds
-   * of events come at once; deciding after each of them kept a leader busy for longer than its
+   * Handles one event and leaves placement and saving to {@link #decide}. After a takeover hundreds
+   * of events arrive at once. Deciding after each of them kept a leader busy for longer than its
    * lease.
    */
   public List<JobEffect> handle(Moment moment, JobEvent event) {
@@ -89,7 +89,7 @@
     return term.effects;
   }
 
-  /** Places what waits and saves what has changed since the last decision. */
+  /** Places waiting tasks and saves the progress that changed since the last decision. */
   public List<JobEffect> decide(Moment moment) {
     term.now = moment;
     term.effects = new ArrayList<>();
@@ -99,9 +99,10 @@
   }
 
   /**
-   * Returns whether an instance of a data centre may lead in place of this one: it is on our side
-   * of any partition, and no tasks wait for the leases of a worker out of touch to end. The next
-   * leader would begin that wait anew, from this one's last renewal.
+   * Returns whether this leader may yield leadership to an instance of a data centre. That instance
+   * must be on this leader's side of any partition, and no task may be waiting for the leases of an
+   * unreachable worker to end: the next leader would restart that wait from this leader's last
+   * renewal.
    */
   public boolean mayYieldLeadershipTo(DataCentreId dataCentre) {
     return PartitionDetector.reaches(term.workers.values(), dataCentre)
@@ -109,9 +110,9 @@
   }
 
   /**
-   * Returns whether an order to start may still leave for a worker. It may have waited for its
-   * connection while its job was cancelled, its task was taken off the worker, or the worker said
-   * that it leaves or its data centre began to be emptied.
+   * Returns whether a start order may still be sent to a worker. While the order waited for its
+   * connection, its job may have been cancelled, its task may have been taken off the worker, the
+   * worker may have begun to drain, or the evacuation of its data centre may have begun.
    */
   public boolean maySend(WorkerIncarnation worker, RunKey run) {
     Task task = term.find(run.task());
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Returns what is known of a job, for a log line: its phase and how many of its runs are placed.
-   * Empty when it is not known, as one that had ended before this term.
+   * Returns a job's phase and the number of its placed runs, for a log line. Empty for a job that
+   * this term does not know, such as one that ended before the term began.
    */
   public Optional<String> describe(JobId id) {
     return Optional.ofNullable(term.jobs.get(id)).map(Job::describe);
--- a/core/src/main/java/org/cottontack/core/job/JobSpec.java
+++ b/core/src/main/java/org/cottontack/core/job/JobSpec.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A job as the caller submitted it; it never changes.
+ * A job as the caller submitted it; immutable.
  *
  * @param id the identifier
- * @param queue the queue as it stood when the job was accepted
+ * @param queue the queue as it was when the job was accepted
  * @param payload opaque text that each task receives
  * @param steps the steps
  * @param schedule when its occurrences are due
@@ -17,16 +17,16 @@
   /**
    * When the occurrences of a job are due.
    *
-   * @param firstMillis time of day of the first one, milliseconds since 1970
-   * @param intervalMillis time between two
-   * @param repeats how often it runs; 0 means once, at once
+   * @param firstMillis due time of the first occurrence, in milliseconds since 1970
+   * @param intervalMillis time between two occurrences, in milliseconds
+   * @param repeats number of scheduled occurrences; 0 means that the job runs once, immediately
    */
   public record Schedule(long firstMillis, long intervalMillis, int repeats) {
 
-    /** Once, at once. */
+    /** Runs once, immediately. */
     public static final Schedule AT_ONCE = new Schedule(0, 0, 0);
 
-    /** Returns whether the job waits for a time of day. */
+    /** Returns whether the occurrences wait for a due time. */
     public boolean hasStartTime() {
       return repeats > 0;
     }
@@ -36,7 +36,9 @@
       return Math.max(1, repeats);
     }
 
-    /** Returns when an occurrence is due, milliseconds since 1970; 0 when it is due at once. */
+    /**
+     * Returns when an occurrence is due, in milliseconds since 1970; 0 when it is due immediately.
+     */
     public long dueMillis(int occurrence) {
       return hasStartTime() ? firstMillis + occurrence * intervalMillis : 0;
     }
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -4,7 +4,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The life of a job: taken, recovered after a change of leader, cancelled, ended. */
+/**
+ * Handles the stages of a job: arrival, recovery after a change of leader, cancellation and end.
+ */
 final class Lifecycle {
 
   private final Term term;
@@ -59,7 +61,10 @@
     job.tasks().filter(task -> task.worker != null).forEach(this::inherit);
   }
 
-  /** An earlier leader may have sent its start just before it ended. */
+  /**
+   * Restores a task's placement. An earlier leader may have sent the start order just before its
+   * term ended, so the start may still be carried out late.
+   */
   private void inherit(Task task) {
     if (task.worker.identifierReusable()) {
       long leaseEndMillis = term.inheritedLeaseEndMillis;
@@ -74,7 +79,10 @@
     }
   }
 
-  /** A worker that is not registered may still run what it was given. */
+  /**
+   * Returns the worker of an incarnation, and adds it as unlisted when it is unknown. A worker that
+   * is not registered may still run the tasks that were placed on it.
+   */
   private Worker workerOrUnlisted(WorkerIncarnation incarnation) {
     Worker known = term.workers.get(incarnation.worker());
     return known == null
@@ -83,8 +91,9 @@
   }
 
   /**
-   * News of jobs and of cancellations come separately. A cancellation that overtakes its job is
-   * kept for it; ignored, the job would run although its caller was told that it is cancelled.
+   * Cancels a job. Jobs and cancellations are reported separately, so a cancellation may arrive
+   * before its job. It is kept until the job arrives: otherwise the job would run although its
+   * caller was informed that it is cancelled.
    */
   void cancelled(JobId id) {
     Job job = term.jobs.get(id);
@@ -121,7 +130,7 @@
     }
   }
 
-  /** Ends a job one task of which crashes its workers. */
+  /** Fails the job of a task that crashes its workers. */
   void abandon(Task task) {
     if (!task.job.phase.terminal()) {
       term.logEvent("job.givenUp", task.job.spec.id(), task.name + " crashes=" + task.crashes);
--- a/core/src/main/java/org/cottontack/core/job/PartitionDetector.java
+++ b/core/src/main/java/org/cottontack/core/job/PartitionDetector.java
@@ -5,18 +5,22 @@
 import org.cottontack.core.id.DataCentreId;
 
 /**
- * Judges whether a leader is cut off from the workers that it leads. The load: a data centre is
- * partitioned from the others and still reaches the store, so its leader keeps its lease while most
- * workers get nothing new until the cut heals. An instance on the other side reaches more of them.
+ * Detects whether a leader is cut off from its workers. A data centre that is partitioned from the
+ * others may still reach the store, so its leader keeps its lease although most workers get no new
+ * work until the partition ends. An instance on the other side of the partition reaches more
+ * workers.
  */
 final class PartitionDetector {
 
-  /** Share of the registered workers that must be silent: more than one of two equal sides. */
+  /**
+   * Share of the registered workers above which silence means that the leader is cut off. It is
+   * more than one half, so that neither of two sides of equal size counts as cut off.
+   */
   private static final double CUT_OFF_SHARE = 0.6;
 
   private PartitionDetector() {}
 
-  /** Returns whether all workers that answer are in one data centre, and most do not answer. */
+  /** Returns whether all workers that answer are in one data centre and most workers are silent. */
   static boolean cutOff(Collection<Worker> workers) {
     List<Worker> registered = workers.stream().filter(worker -> worker.registered).toList();
     List<DataCentreId> answering =
@@ -31,8 +35,8 @@
 
   /**
    * Returns whether enough workers of a data centre have answered for it to be on this leader's
-   * side of a partition. An instance there that is on the other side reaches the store and could
-   * ask for the lead; given to it, most workers would get nothing new.
+   * side of a partition. An instance on the other side may still reach the store and request
+   * leadership. If it got leadership, most workers would get no new work.
    */
   static boolean reaches(Collection<Worker> workers, DataCentreId dataCentre) {
     List<Worker> localWorkers =
--- a/core/src/main/java/org/cottontack/core/job/PlacementPass.java
+++ b/core/src/main/java/org/cottontack/core/job/PlacementPass.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** One pass over what waits: the most urgent job first, each task to the best worker. */
+/** Places the waiting tasks: the most urgent job first, each task on the best worker. */
 final class PlacementPass {
 
   private final Term term;
@@ -13,7 +13,7 @@
   private final Urgency urgency;
   private final ShortTaskReserve shortTaskReserve = new ShortTaskReserve();
 
-  /** Tasks of which some worker runs what nobody wants; another run would be beside that one. */
+  /** Tasks with an orphan on some worker. A new run of such a task would run beside the orphan. */
   private Set<TaskName> tasksWithOrphans = Set.of();
 
   PlacementPass(Term term, WorkerSelector workerSelector, Urgency urgency) {
@@ -85,7 +85,10 @@
     return worker;
   }
 
-  /** Returns whether a task waits for reasons of its own, which say nothing of its siblings. */
+  /**
+   * Returns whether a task is blocked for a reason of its own, which does not apply to the other
+   * tasks of its step.
+   */
   private boolean blockedOnItsOwn(Task task) {
     return task.pinned(term.now.mono()) || tasksWithOrphans.contains(task.name);
   }
--- a/core/src/main/java/org/cottontack/core/job/Resources.java
+++ b/core/src/main/java/org/cottontack/core/job/Resources.java
@@ -3,13 +3,13 @@
 /**
  * An amount of a worker's resources.
  *
- * @param cpuMillis thousandths of a core
- * @param memMb memory in megabytes
- * @param accelerators accelerators
+ * @param cpuMillis processor time, in thousandths of a core
+ * @param memMb memory, in megabytes
+ * @param accelerators number of accelerators
  */
 public record Resources(long cpuMillis, long memMb, long accelerators) {
 
-  /** Nothing. */
+  /** No resources. */
   public static final Resources NONE = new Resources(0, 0, 0);
 
   /** Returns the sum. */
@@ -18,13 +18,13 @@
         cpuMillis + other.cpuMillis, memMb + other.memMb, accelerators + other.accelerators);
   }
 
-  /** Returns the difference; a part may be negative. */
+  /** Returns the difference; each component may be negative. */
   public Resources minus(Resources other) {
     return new Resources(
         cpuMillis - other.cpuMillis, memMb - other.memMb, accelerators - other.accelerators);
   }
 
-  /** Returns whether this amount holds the other. */
+  /** Returns whether this amount is at least as large in each component. */
   public boolean holds(Resources other) {
     return cpuMillis >= other.cpuMillis
         && memMb >= other.memMb
--- a/core/src/main/java/org/cottontack/core/job/RunKey.java
+++ b/core/src/main/java/org/cottontack/core/job/RunKey.java
@@ -1,10 +1,10 @@
 package org.cottontack.core.job;
 
 /**
- * One start of a task.
+ * Identifies a run: one numbered start of a task.
  *
  * @param task the task
- * @param run numbers the starts of the task, from 1
+ * @param run number of the start, from 1
  */
 public record RunKey(TaskName task, int run) {
 
--- a/core/src/main/java/org/cottontack/core/job/ShortTaskReserve.java
+++ b/core/src/main/java/org/cottontack/core/job/ShortTaskReserve.java
@@ -5,43 +5,47 @@
 import java.util.Map;
 
 /**
- * Keeps room for short tasks when new services want to begin. The load: services reserve nine
- * tenths of the processors and stay for minutes, and short tasks come in bursts and want to start
- * at once. A service that never ran begins only where as much stays free as short tasks needed at
- * their last peak. One that did run returns at once, whatever that leaves: its users miss it.
+ * Reserves capacity for short tasks when new services are to begin. Services reserve nine tenths of
+ * the processors and run for minutes, while short tasks arrive in bursts and should start
+ * immediately. A service that has never run begins only where it leaves as much capacity free as
+ * short tasks needed at their last peak. A service that has run before restarts at once, whatever
+ * that leaves for short tasks, because its users miss it.
  */
 final class ShortTaskReserve {
 
   /**
-   * Time in which half of a peak is forgotten, in milliseconds: bursts come some tens of seconds
-   * apart, and no service should wait for one that was a minute ago.
+   * Half-life of a recorded peak, in milliseconds. Bursts are some tens of seconds apart, and no
+   * service should wait because of a burst a minute ago.
    */
   private static final double HALF_LIFE_MILLIS = 20_000;
 
-  /** Weight of the newest task in the usual size of short ones. */
+  /** Weight of the newest task in the mean size of short tasks. */
   private static final double NEWEST_WEIGHT = 0.05;
 
   private final Map<String, Pool> pools = new HashMap<>();
   private long lastPassMillis;
 
-  /** What is known of a pool of workers; processor time in thousandths of a core. */
+  /** The state of a pool of workers; processor time is in thousandths of a core. */
   private static final class Pool {
-    /** What a short task asks for, on average. */
+    /** Mean processor time that a short task reserves. */
     double meanTaskCpu;
 
-    /** The most that short tasks held and waited for, fading. */
+    /** Peak of the processor time that short tasks reserved or waited for. It decays over time. */
     double peakDemand;
 
-    /** What is free in pieces that hold a usual short task; smaller ones are of no use to them. */
+    /**
+     * Free processor time in multiples of a mean short task. Smaller remainders on a worker cannot
+     * hold a short task.
+     */
     double usableFree;
 
     long capacity;
     long used;
 
-    /** What short tasks hold. */
+    /** Processor time that short tasks have reserved. */
     long shortTasksCpu;
 
-    /** What short tasks wait for. */
+    /** Processor time for which short tasks wait. */
     long waitingCpu;
 
     void clear() {
@@ -66,7 +70,7 @@
     }
   }
 
-  /** Takes in what is used and what waits before a pass over what waits. */
+  /** Records the reservations and the waiting tasks, before a placement pass. */
   void beginPass(
       Collection<Worker> workers, Collection<Job> jobsToPlace, JobTable table, long nowMillis) {
     final double decay = Math.pow(0.5, (nowMillis - lastPassMillis) / HALF_LIFE_MILLIS);
@@ -108,7 +112,7 @@
     return !neverStarted || pool(pool).admits(task.spec.reserved().cpuMillis());
   }
 
-  /** Takes in that a task got a place in a pool. */
+  /** Records that a task was placed in a pool. */
   void recordPlaced(Task task, String name) {
     Pool pool = pool(name);
     long cpu = task.spec.reserved().cpuMillis();
--- a/core/src/main/java/org/cottontack/core/job/StepId.java
+++ b/core/src/main/java/org/cottontack/core/job/StepId.java
@@ -4,7 +4,7 @@
  * A step of one occurrence of a job.
  *
  * @param job the job
- * @param occurrence which repetition, from 0
+ * @param occurrence number of the repetition, from 0
  * @param step the step's number, from 0
  */
 public record StepId(JobId job, int occurrence, int step) {
--- a/core/src/main/java/org/cottontack/core/job/StepSpec.java
+++ b/core/src/main/java/org/cottontack/core/job/StepSpec.java
@@ -4,19 +4,20 @@
 import java.util.Optional;
 
 /**
- * One step of a job: equal tasks that may start once the steps before it are done.
+ * One step of a job: equal tasks that may start once the preceding steps are done.
  *
  * @param count number of tasks
- * @param need what each task needs
- * @param estimateMillis rough duration of a task
+ * @param need the resources that each task needs
+ * @param estimateMillis rough duration of a task, in milliseconds
  * @param after numbers of the steps whose tasks must all be done first
- * @param traits what is true of the step
- * @param requiredLabel the label a worker must carry
- * @param rack the rack that holds the data; tasks run slower elsewhere
- * @param maxPerWorker most tasks of the step on one worker; 0 means no limit
+ * @param traits properties of the step
+ * @param requiredLabel label that a worker must have
+ * @param rack rack that holds the data; tasks run slower elsewhere
+ * @param maxPerWorker maximum number of the step's tasks on one worker; 0 means no limit
  * @param image what the tasks run; tasks of one image behave alike
- * @param targetMillis bound on the tail of a serving task's response times; 0 means none
- * @param mayMiss how many tasks of a lasting step may be away at once through our own doing
+ * @param targetMillis bound on the tail latency of a serving task, in milliseconds; 0 means none
+ * @param mayMiss how many tasks of a long-running step may be absent at once through the
+ *     scheduler's own decisions
  */
 public record StepSpec(
     int count,
@@ -31,19 +32,22 @@
     double targetMillis,
     int mayMiss) {
 
-  /** Properties that a step has or lacks. */
+  /** Properties that a step may have. */
   public enum Trait {
-    /** Tasks save their progress from time to time and resume from it. */
+    /** Tasks save checkpoints from time to time and resume from the last one. */
     CHECKPOINTS,
-    /** All tasks work only together. */
+    /** The tasks make progress only while all of them run. */
     GANG,
     /** Tasks run slower when they are spread over several racks. */
     RACK_LOCAL,
-    /** Parallel copies of a task are allowed; the first to finish counts. */
+    /** Speculative copies of a task are allowed; the first one to finish counts. */
     SPECULATIVE,
-    /** Tasks run until the job is cancelled, and are restarted however they end. */
+    /**
+     * Long-running: tasks run until the job is cancelled, and are restarted whatever their
+     * completion status is.
+     */
     LASTS,
-    /** Tasks use the processor time that others leave; their share reserves nothing. */
+    /** Best-effort: tasks use the processor time that other tasks leave idle, and reserve none. */
     FILLS
   }
 
@@ -53,7 +57,7 @@
     traits = List.copyOf(traits);
   }
 
-  /** Returns the step in one short text, for logs. */
+  /** Returns a short description of the step, for logs. */
   String describe() {
     return "%dx%dmc/%dMB ~%dms after %s %s label=%s rack=%s apart=%d image=%s target=%s miss=%d"
         .formatted(
@@ -76,12 +80,12 @@
     return traits.contains(trait);
   }
 
-  /** Returns whether its tasks serve users of their own within a bound. */
+  /** Returns whether its tasks are serving tasks: they answer requests within a latency bound. */
   public boolean serves() {
     return targetMillis > 0;
   }
 
-  /** Returns what a task reserves on its worker: a task that fills reserves no processor time. */
+  /** Returns what a task reserves on its worker. A best-effort task reserves no processor time. */
   public Resources reserved() {
     return is(Trait.FILLS) ? new Resources(0, need.memMb(), need.accelerators()) : need;
   }
--- a/core/src/main/java/org/cottontack/core/job/TaskName.java
+++ b/core/src/main/java/org/cottontack/core/job/TaskName.java
@@ -1,9 +1,9 @@
 package org.cottontack.core.job;
 
 /**
- * A task of a job.
+ * The name of a task of a job.
  *
- * @param step the step it belongs to
+ * @param step the step to which it belongs
  * @param index its number within the step, from 0
  */
 public record TaskName(StepId step, int index) {
@@ -25,7 +25,7 @@
     return new TaskName(step, Integer.parseInt(parts[3]));
   }
 
-  /** Returns the job it belongs to. */
+  /** Returns the job to which the task belongs. */
   public JobId job() {
     return step.job();
   }
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -15,8 +15,8 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * What one leader's term knows of jobs and workers, and what it wants done. The parts of {@link
- * JobScheduler} share it; confined to one thread.
+ * The state of one leader's term: its jobs, its workers and the effects to carry out. It is shared
+ * by the parts of {@link JobScheduler} and confined to one thread.
  */
 final class Term {
 
@@ -34,25 +34,28 @@
   /** Jobs with occurrences that are not due yet. */
   final Set<Job> scheduledJobs = new LinkedHashSet<>();
 
-  /** Jobs of which a task turned out to be done while a later run of it had its place. */
+  /** Jobs with a task whose earlier run was reported as done while a later run of it was placed. */
   final Set<Job> jobsToRecheck = new LinkedHashSet<>();
 
-  /** Jobs whose progress is not saved. */
+  /** Jobs whose progress has changed since it was last saved. */
   final Set<Job> dirty = new LinkedHashSet<>();
 
   JobTable table;
 
-  /** When the last renewal of the leader's lease was sent; set with the first tick. */
+  /** When the last stored renewal of the leader's lease was sent. Set by the first tick. */
   Moment renewal;
 
-  /** When nothing may begin any more by what is known, on our steady clock. */
+  /** When runs may no longer begin without fresher information, on this leader's steady clock. */
   long startDeadlineMillis = Long.MAX_VALUE;
 
   final IgnoredStarts ignoredStarts = new IgnoredStarts();
   final UnlistedSuppressions unlistedSuppressions = new UnlistedSuppressions();
   final UnlistedDeferrals unlistedDeferrals = new UnlistedDeferrals();
 
-  /** Whether the next leader would not know which lives hide ends, or may come to do so. */
+  /**
+   * Whether the stored set of incarnations that have, or may get, suppressed completions is out of
+   * date, so that the next leader would not know some of them.
+   */
   boolean incarnationsUnsaved;
 
   boolean capacityChanged;
@@ -71,32 +74,38 @@
     effects.add(new JobEffect.Note(name, subject.toString(), detail));
   }
 
-  /** Returns the latest end, on our steady clock, of leases that are given now; may be past. */
+  /**
+   * Returns when leases that are given now end at the latest, on this leader's steady clock. It may
+   * be in the past.
+   */
   long grantEndMillis() {
     return renewal == null ? startMillis : LeaderLease.grantEnd(renewal, now);
   }
 
-  /** Returns the worker that leads a life, if it still does. */
+  /** Returns the worker of an incarnation, if that is its present incarnation. */
   Optional<Worker> worker(WorkerIncarnation incarnation) {
     return Optional.ofNullable(workers.get(incarnation.worker()))
         .filter(worker -> worker.incarnation().equals(incarnation));
   }
 
-  /** Returns the worker whose entry may speak of a life, if there is one. */
+  /** Returns the worker whose registry entry may describe an incarnation, if there is one. */
   Optional<Worker> listedAs(WorkerIncarnation incarnation) {
     return Optional.ofNullable(workers.get(incarnation.worker()))
         .filter(worker -> worker.listedAs(incarnation));
   }
 
-  /** Returns the worker that holds a placed task, whichever life the task was placed on. */
+  /**
+   * Returns the worker on which a task is placed, whichever incarnation of it the task was placed
+   * on.
+   */
   Worker workerOf(Task task) {
     return workers.get(task.worker.worker());
   }
 
   /**
-   * Adds a worker in place of what was known by its identifier.
+   * Adds a worker and replaces the one that had its identifier.
    *
-   * @param leaseEndMillis when leases that were not given through it have ended
+   * @param leaseEndMillis when leases that were not given through this worker have ended
    */
   Worker add(WorkerInfo info, long leaseEndMillis) {
     Acknowledgements acknowledgements = incarnations.acknowledgements(info.id());
@@ -104,7 +113,7 @@
     LateLeases lateLeases = incarnations.lateLeases(info.id());
     lateLeases.unanswered();
     int restarts = incarnations.restarts(info.incarnation());
-    // The life before may be the one that leads, and answer again.
+    // The former incarnation may be the one that really runs, and may answer again.
     Optional.ofNullable(workers.get(info.id())).ifPresent(this::forget);
     Worker worker =
         new Worker(info, evacuations, restarts, leaseEndMillis, acknowledgements, lateLeases);
@@ -112,22 +121,24 @@
     return worker;
   }
 
-  /** Takes in that a life may be named ends as soon as this is stored. */
+  /** Records that acknowledgements may be sent to an incarnation as soon as this is stored. */
   void acknowledging(WorkerIncarnation incarnation) {
     incarnations.acknowledgements(incarnation.worker()).acknowledging(incarnation, now.mono());
   }
 
-  /** Takes in that an earlier leader may have named ends to a life. */
+  /** Records that an earlier leader may have sent acknowledgements to an incarnation. */
   void inheritAcknowledged(WorkerIncarnation incarnation) {
     incarnations.acknowledgements(incarnation.worker()).inherit(incarnation, startMillis);
   }
 
-  /** Returns the lives whose next ones may get acknowledgements that were meant for them. */
+  /**
+   * Returns the incarnations whose successors may receive acknowledgements that were sent to them.
+   */
   Set<WorkerIncarnation> acknowledgedIncarnations() {
     return incarnations.acknowledged(workers::containsKey, now.mono());
   }
 
-  /** Drops a worker that is not listed; it can be listed again. */
+  /** Removes a worker that is not listed. It can be listed again. */
   void forget(Worker worker) {
     workers.remove(worker.info.id());
     if (worker.deferredAcknowledgements.first(now.mono()).isPresent()) {
@@ -139,7 +150,10 @@
     }
   }
 
-  /** Returns the lives that may never list some ends; those away for longest are last. */
+  /**
+   * Returns the incarnations that have suppressed completions. Those unlisted for longest come
+   * last.
+   */
   Set<WorkerIncarnation> incarnationsWithSuppressions() {
     Stream<WorkerIncarnation> known =
         workers.values().stream()
@@ -149,7 +163,10 @@
         .collect(Collectors.toCollection(LinkedHashSet::new));
   }
 
-  /** Returns the lowest number that is held on each life with held ends. */
+  /**
+   * Returns the lowest deferred completion number of each incarnation with deferred
+   * acknowledgements.
+   */
   Map<WorkerIncarnation, Long> firstDeferred() {
     Map<WorkerIncarnation, Long> first = new HashMap<>(unlistedDeferrals.first(now.mono()));
     for (Worker worker : workers.values()) {
@@ -166,20 +183,20 @@
     return job == null || !job.has(name) ? null : job.task(name);
   }
 
-  /** Has tasks of all jobs know of a start that turned out to be ignored. */
+  /** Records an ignored start. The record is shared by the tasks of all jobs. */
   void recordIgnoredStart(Task task) {
     if (task.startIgnored() && ignoredStarts.add(task.unansweredMillis())) {
       logEvent("start.ignored", task.key(), task.worker.toString());
     }
   }
 
-  /** Says for how long at most a task that waits again is kept from other workers. */
+  /** Logs for how long at most a waiting task is pinned to one worker. */
   void logPinned(Task task) {
     task.pinnedForMillis(now.mono())
         .ifPresent(millis -> logEvent("task.bound", task.key(), "millis=" + millis));
   }
 
-  /** Takes a task off its worker; it waits again unless it is done or its job has ended. */
+  /** Takes a task off its worker. The task waits again unless it is done or its job has ended. */
   void release(Task task) {
     Optional.ofNullable(task.worker)
         .map(incarnation -> workers.get(incarnation.worker()))
--- a/core/src/main/java/org/cottontack/core/job/UnplaceableSteps.java
+++ b/core/src/main/java/org/cottontack/core/job/UnplaceableSteps.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * What found no worker in one pass over the waiting tasks. The load is hundreds of waiting tasks
- * and a few full workers: a task that asks for at least as much as one that found nothing is not
- * tried.
+ * The steps for whose tasks no worker was found in the present placement pass. With hundreds of
+ * waiting tasks and a few full workers, this saves the search for a task that needs at least as
+ * much as one for which no worker was found.
  */
 final class UnplaceableSteps {
 
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Returns whether a step's tasks need not be tried. */
+  /** Returns whether the search for a worker can be skipped for a step's tasks. */
   boolean covers(StepSpec step, JobQueue queue) {
     return entries.stream()
         .anyMatch(r -> r.pool().equals(queue.pool()) && needsAtLeastAsMuch(step, r.step()));
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -7,44 +7,50 @@
 import java.util.stream.IntStream;
 
 /**
- * The order in which waiting jobs get workers. The load is a burst that brings more work than fits.
- * By order of arrival or of deadlines all jobs are then late by the whole backlog; so the capacity
- * goes where it brings callers most for the work that is left: to jobs that can still be in time,
- * among them to small and nearly finished ones, and the more so the less time is left. What can
- * only be late comes after that, and what is too late to matter is done in what the others leave. A
- * new job that lasts would keep for minutes the room that short tasks need now, and brings a
- * quarter of what they bring for it: it begins in what they leave, but goes first once it has
- * waited long.
+ * Orders waiting jobs by urgency. During a burst more work arrives than the workers can do. Ordered
+ * by arrival or by deadline, all jobs would then be late by the whole backlog. Capacity therefore
+ * goes where it brings callers the most value for the work that is left: to jobs that can still be
+ * on time, and among them to small and nearly finished ones, the more so the less time is left.
+ * Jobs that can only be late come next, and jobs that are too late to matter use the capacity that
+ * is left. A new long-running job would keep the capacity that short tasks need for minutes, and
+ * brings a quarter of the value that they bring for it. It begins in the capacity that they leave,
+ * but goes first once it has waited long.
  */
 final class Urgency {
 
-  /** Worth of a job to its caller that does not grow with its size, as a share of a mean job's. */
+  /**
+   * Part of a job's value to its caller that does not grow with its size, as a share of a mean
+   * job's value.
+   */
   private static final double FIXED_JOB_VALUE = 0.3;
 
-  /** A job is worth at most this many mean jobs: larger ones are one caller's all the same. */
+  /** Maximum value of a job, in mean jobs, because a larger job still belongs to one caller. */
   private static final double MAX_JOB_VALUE = 4;
 
-  /** Added to the share of the objective that is left, so that urgency at most quintuples. */
+  /**
+   * Added to the remaining share of the objective, so that urgency multiplies a score by at most
+   * five.
+   */
   private static final double URGENCY_OFFSET = 0.25;
 
-  /** Least work that counts as left, in thousandths of a core times milliseconds. */
+  /** Minimum of the remaining work of a job, in thousandths of a core times milliseconds. */
   private static final double MIN_REMAINING_WORK = 100_000;
 
-  /** What a result is worth by the time that it can still come at. */
+  /** The value of a result by the time at which it can still be complete. */
   private enum Timeliness {
     IN_TIME(1),
     /** Late, but within three times the objective. */
     LATE(0.25),
-    /** Of no use to the caller any more. */
+    /** Too late to be useful to the caller. */
     TOO_LATE(0.02);
 
-    /** A result later than this many times its objective is of no use to the caller. */
+    /** A result that takes more than this many times its objective is useless to the caller. */
     private static final int MAX_OBJECTIVES = 3;
 
     private final double valueShare;
 
-    Timeliness(double share) {
-      this.valueShare = share;
+    Timeliness(double valueShare) {
+      this.valueShare = valueShare;
     }
 
     static Timeliness of(long completionMillis, long objectiveMillis) {
@@ -55,13 +61,13 @@
     }
   }
 
-  /** How long a new job that lasts waits behind short ones, in milliseconds. */
+  /** How long a new long-running job is placed after short ones, in milliseconds. */
   private static final long MAX_DEFERRAL_MILLIS = 10_000;
 
-  /** A waiting job with what decides its turn. */
+  /** A waiting job and the keys by which it is sorted. */
   private record RankedJob(Job job, int priority, Rank rank, double score) {}
 
-  /** Groups of one priority, in the order of their turns. */
+  /** Groups within one priority, in the order of placement. */
   private enum Rank {
     FIRST,
     DEFERRED,
@@ -80,7 +86,7 @@
     this.estimates = estimates;
   }
 
-  /** Returns the jobs in the order of their turns. */
+  /** Returns the jobs in the order of placement. */
   List<Job> order(Collection<Job> jobs, long nowMillis) {
     return jobs.stream()
         .map(job -> rank(job, nowMillis))
@@ -126,7 +132,7 @@
         / work;
   }
 
-  /** Returns the whole work of a job, in thousandths of a core times milliseconds. */
+  /** Returns the total work of a job, in thousandths of a core times milliseconds. */
   double work(JobSpec spec) {
     return spec.steps().stream()
         .mapToDouble(step -> (double) step.count() * taskWork(spec.queue(), step))
@@ -164,7 +170,10 @@
     return criticalPath(spec, step -> estimates.millis(spec.queue(), spec.steps().get(step)));
   }
 
-  /** Returns the probable time of the longest chain of steps that are not done. */
+  /**
+   * Returns the expected duration of the critical path through the steps that are not done, in
+   * milliseconds.
+   */
   private long remainingMillis(Job job) {
     return job.occurrences.stream()
         .mapToLong(
--- a/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
@@ -8,30 +8,31 @@
 import java.util.stream.Collectors;
 
 /**
- * Chooses a worker for a task. The load is a stream of short tasks that want to start at once,
- * beside tasks that serve users and tasks that fill. Serving tasks of one image are packed
- * together: which tasks may fill beside them differs by image, so a worker with one image refuses
- * few of them, and workers without any refuse none. Short tasks are spread by free processor time,
- * which keeps room everywhere for the next wide step. Tasks that fill go where they are predicted
- * to strain least.
+ * Chooses a worker for a task. The workload mixes short tasks, which should start immediately,
+ * serving tasks and best-effort tasks. Serving tasks of one image are packed onto the same workers:
+ * which best-effort tasks may run beside them depends on the image, so a worker with one image
+ * excludes few of them and a worker without serving tasks excludes none. Short tasks are spread by
+ * free processor time, which keeps capacity on every worker for the next wide step. Best-effort
+ * tasks go to the worker where they are predicted to use the least headroom.
  */
 final class WorkerSelector {
 
   /**
-   * Predicted strain up to which a task that fills may join; 1 is all the headroom that there will
-   * be. What is kept back is for loads that swing and predictions that are wrong.
+   * Predicted headroom use up to which a best-effort task may join a worker; 1 is all of the
+   * headroom. The rest is a reserve for load swings and prediction errors.
    */
   static final double MAX_HEADROOM_USE = 0.8;
 
-  /** Steps of strain that count as equal: the estimate is not finer. */
+  /** Step to which headroom use is rounded, because the estimate is not more precise. */
   private static final double HEADROOM_USE_STEP = 0.15;
 
-  /** Differences of tolerance that count. */
+  /** Number of steps that are distinguished in the tolerance of images. */
   private static final long TOLERANCE_STEPS = 5;
 
   /**
-   * Share of its processors that a task that fills must find idle. Placed on less, a backlog slows
-   * all jobs alike and makes each of them late, where in turn most would be on time.
+   * Share of its requested processor time that a best-effort task must find idle. Placed on less,
+   * all jobs of a backlog are slowed alike and all of them become late; run one after the other,
+   * most of them are on time.
    */
   private static final double MIN_IDLE_SHARE = 0.3;
 
@@ -43,7 +44,9 @@
           .thenComparingLong(Candidate::tieBreak)
           .thenComparing(candidate -> candidate.worker().info.id());
 
-  /** Share of the processors reserved up to which a pool counts as roomy. */
+  /**
+   * Share of a pool's processors that may be reserved for the pool to count as lightly reserved.
+   */
   private static final double LIGHT_RESERVATION_SHARE = 0.6;
 
   private static final int NO_SERVING_TASKS = 1;
@@ -56,14 +59,15 @@
   }
 
   /**
-   * A worker that has room.
+   * A worker with enough free capacity.
    *
    * @param worker the worker
-   * @param reportsAllCompletions whether the task would stay there
-   * @param dataLocal whether it is where the data lies
-   * @param notFailedHere whether the task has not failed there before
-   * @param affinity how well the task goes with what is there; more is better
-   * @param tieBreak decides among equals; more is better
+   * @param reportsAllCompletions whether the worker will report the completion of every run that
+   *     ends there
+   * @param dataLocal whether the worker is in the rack that holds the data
+   * @param notFailedHere whether no run of the task has failed there
+   * @param affinity how well the task goes with the tasks there; higher is better
+   * @param tieBreak decides among otherwise equal workers; higher is better
    */
   private record Candidate(
       Worker worker,
@@ -73,7 +77,7 @@
       long affinity,
       long tieBreak) {}
 
-  /** Takes in how much is reserved before a pass over what waits. */
+  /** Records how much of each pool is reserved, before a placement pass. */
   void beginPass(Collection<Worker> workers) {
     lightlyReservedPools.clear();
     workers.stream()
@@ -98,15 +102,15 @@
   }
 
   /**
-   * Returns whether a job gets a place beside anything: nothing of it runs though the pool is
-   * roomy. An image that harms all others would otherwise never run, and its jobs never end; its
-   * first task is paced where it does harm.
+   * Returns whether a job may be placed whatever its effect on serving tasks: none of its tasks is
+   * placed although the pool is lightly reserved. Otherwise the jobs of an image that harms all
+   * others would never run. The pace of their first task is reduced where it does harm.
    */
   boolean mayIgnoreContention(Job job, JobQueue queue) {
     return lightlyReservedPools.contains(queue.pool()) && !job.onWorkers();
   }
 
-  /** Returns the worker to run a task on, or nothing when none has room. */
+  /** Returns the worker for a task, or empty when none has enough free capacity. */
   Optional<Worker> choose(Task task, JobQueue queue, Collection<Worker> workers, long nowMillis) {
     return workers.stream()
         .filter(worker -> worker.usable(nowMillis))
@@ -161,9 +165,10 @@
   }
 
   /**
-   * What can go anywhere goes where few others can, and leaves the places beside tolerant images,
-   * or beside none, to those that need them. Beside a tail that is over its bound already nothing
-   * joins: it would start at full pace.
+   * Returns the candidate for a best-effort task. A task that may run on any worker goes where few
+   * others may, which keeps the workers with tolerant images, or without serving tasks, for the
+   * tasks that need them. No task joins a serving task whose tail latency already exceeds its
+   * bound, because the new task would start at full pace.
    */
   private Optional<Candidate> bestEffortCandidate(
       Task task,
@@ -196,7 +201,10 @@
     return worker.suppressedCompletions.none();
   }
 
-  /** Returns 2 beside its like only, 1 where nothing serves, and 0 beside other images. */
+  /**
+   * Returns 2 where all serving tasks have the same image, 1 where there are none, and 0 beside
+   * other images.
+   */
   private static int imageAffinity(Task task, Worker worker) {
     if (worker.services().isEmpty()) {
       return NO_SERVING_TASKS;
--- a/core/src/main/java/org/cottontack/core/job/package-info.java
+++ b/core/src/main/java/org/cottontack/core/job/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Jobs made of steps of tasks: what a job is, how far it has come, which worker runs what, and the
- * leader's decisions about them. Pure: time comes with each event, effects are data.
+ * Jobs made of steps of tasks: job definitions, their progress, the placement of tasks on workers,
+ * and the leader's decisions about them. The code is free of side effects: time arrives with each
+ * event, and effects are returned as data.
  */
 package org.cottontack.core.job;
--- a/core/src/main/java/org/cottontack/core/package-info.java
+++ b/core/src/main/java/org/cottontack/core/package-info.java
@@ -1,2 +1,2 @@
-/** The scheduler as one pure reducer: events in, new state and effects out. */
+/** The scheduler as a pure reducer: it takes events, and returns a new state and effects. */
 package org.cottontack.core;
--- a/core/src/test/java/org/cottontack/core/job/CandidacyTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CandidacyTest.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Tests of what instances of different sizes do about the lead. */
+/** Tests of when instances of different sizes seek leadership. */
 public class CandidacyTest {
 
   private static final Capacity SMALL = new Capacity(360, 10_000);
   private static final Capacity LARGE = new Capacity(1_500, 200_000);
   private static final long MIN_INTERVAL = 30_000;
 
-  /** Sizes. */
+  /** Comparison of capacities. */
   public static class Sizes {
 
     @Test
@@ -26,8 +26,8 @@
     }
 
     /**
-     * One instance has more processor, the other more link. Were each larger than the other, they
-     * would take the lead from each other for ever.
+     * One instance has more processor time, the other more bandwidth. If each counted as larger
+     * than the other, they would take leadership from each other indefinitely.
      */
     @Test
     public void areNotBothLargerThanTheOther() {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** When the lead is free. */
+  /** Behaviour while leadership is vacant. */
   public static class TakeoverDelay {
 
     @Test
@@ -57,7 +57,7 @@
     }
   }
 
-  /** While a smaller instance leads. */
+  /** Requests for leadership while a smaller instance leads. */
   public static class Requests {
 
     @Test
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Another instance has asked the leader of this term; the next leader has not been asked yet.
+     * Another instance has already requested leadership in this term, so this one sends no request.
+     * The next leader has had no request yet.
      */
     @Test
     public void sendsNoSecondRequestInTheSameTerm() {
@@ -80,7 +81,10 @@
       assertTrue(large.mayRequest(1_000 + MIN_INTERVAL, 3, SMALL));
     }
 
-    /** A leader gave the lead away: for a while one change of leader is enough, in any term. */
+    /**
+     * A leader has handed leadership over. For the minimum interval one change of leader is enough,
+     * in any term.
+     */
     @Test
     public void sendsNoRequestSoonAfterHandover() {
       Candidacy large = new Candidacy(LARGE, MIN_INTERVAL);
@@ -91,8 +95,8 @@
     }
 
     /**
-     * A large leader lost its term to a small one. Were it to ask at once, the lead would go back
-     * and forth for as long as the reason lasts.
+     * A large leader lost its term to a small one. If it requested leadership at once, leadership
+     * would pass back and forth for as long as the cause of the loss lasts.
      */
     @Test
     public void sendsNoRequestSoonAfterOwnTerm() {
--- a/core/src/test/java/org/cottontack/core/job/PartitionDetectorTest.java
+++ b/core/src/test/java/org/cottontack/core/job/PartitionDetectorTest.java
@@ -10,7 +10,7 @@
 import org.cottontack.core.id.WorkerId;
 import org.testng.annotations.Test;
 
-/** Tests of which data centres a leader counts as on its side of a partition. */
+/** Tests of which data centres a leader considers to be on its side of a partition. */
 public class PartitionDetectorTest {
 
   private static final DataCentreId OTHER_DATA_CENTRE = new DataCentreId("there");
@@ -51,12 +51,12 @@
         Stream.concat(local.stream(), others.stream()).toList(), OTHER_DATA_CENTRE);
   }
 
-  /** Data centres beside the leader's own. */
+  /** Data centres other than the leader's. */
   public static class OtherDataCentres {
 
     /**
-     * A data centre is cut off. Its instances may reach the store and ask for the lead; the leader,
-     * whom none or few of the workers there answer, keeps it.
+     * A data centre is cut off. Its instances may reach the store and request leadership. The
+     * leader gets no answers, or few, from the workers there and keeps its leadership.
      */
     @Test
     public void doesNotReachDataCentreWithMostlySilentWorkers() {
@@ -64,13 +64,16 @@
       assertTrue(reaches(workers("there", 4, 1, 0)));
     }
 
-    /** A new leader has asked and has no answers yet: it cannot tell who is cut off. */
+    /**
+     * A new leader has polled the workers and has no answers yet, so it cannot know which data
+     * centre is cut off.
+     */
     @Test
     public void doesNotReachWorkersThatHaveNotAnsweredYet() {
       assertFalse(reaches(workers("there", 0, 0, 5)));
     }
 
-    /** Instances may live where no worker is. */
+    /** A data centre may have instances but no workers. */
     @Test
     public void reachesDataCentreWithoutWorkers() {
       assertTrue(reaches(List.of()));
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of tasks that fill beside tasks that serve, in virtual time. */
+/** Tests of best-effort tasks beside serving tasks, in simulated time. */
 public class SharingTest {
 
-  /** Paces and places of tasks that fill. */
+  /** Paces and placement of best-effort tasks. */
   public static class BestEffortTasks {
 
     private static JobSpec serving(String id, String image) {
@@ -24,15 +24,18 @@
       return job(id, step(1, 4, List.of(), 0, image, 0, StepSpec.Trait.FILLS));
     }
 
-    /** Runs one serving task of an image for each id. */
-    private static void serve(JobSimulation simulation, long workMillis, String... ids) {
+    /** Runs one serving task for each id, all of the same image. */
+    private static void runServingTasks(JobSimulation simulation, long workMillis, String... ids) {
       simulation.workMillis = workMillis;
       List.of(ids).forEach(id -> simulation.submit(serving(id, "web")));
       simulation.run(300);
     }
 
-    /** Has a task that fills work at 4 cores while the tail of the serving task s is as given. */
-    private static void harm(
+    /**
+     * Submits a best-effort task that uses 4 cores, and sets the tail latency of the serving task
+     * s.
+     */
+    private static void submitHarmful(
         JobSimulation simulation, SimulatedWorker worker, JobSpec bestEffort, double tail) {
       simulation.submit(bestEffort);
       worker.loads.put("s", tail);
@@ -40,9 +43,10 @@
     }
 
     /**
-     * Lets time pass in which the tail of s is high while f1 works beside it, and low otherwise.
+     * Runs the simulation with a high tail latency of s while f1 runs beside it, and a low one
+     * otherwise.
      */
-    private static void harmWhileBeside(
+    private static void raiseTailWhileBothRun(
         JobSimulation simulation, SimulatedWorker worker, long millis) {
       for (long passed = 0; passed < millis; passed += 50) {
         worker.loads.put("s", worker.runs(TaskName.parse("f1.0.0.0")) ? 180.0 : 5.0);
@@ -51,15 +55,15 @@
     }
 
     /**
-     * A task that fills pushes a serving task's tail far over its bound. Its pace goes to zero
-     * within the next reports; the users of the serving task see a short bump only.
+     * A best-effort task pushes the tail latency of a serving task far over its bound. Its pace is
+     * set to zero within the next reports, so that users of the serving task see only a short peak.
      */
     @Test
     public void haltsRunThatPushesTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
-      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_500);
       assertTrue(
           simulation.seen.stream()
@@ -67,14 +71,14 @@
     }
 
     /**
-     * A tail is over its bound, and the report in between reads just under it. What fills is halted
-     * all the same, and no new task that fills joins: it would start at full pace.
+     * A tail latency is over its bound, and one report in between is just under it. Best-effort
+     * tasks stay halted, and no new one joins, because it would start at full pace.
      */
     @Test
     public void staysHaltedAfterOneReportBelowTheBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
+      runServingTasks(simulation, 60_000, "s");
       simulation.submit(bestEffort("f", "batch"));
       worker.loads.put("f", 0.1);
       worker.loads.put("s", 18.5);
@@ -89,14 +93,15 @@
     }
 
     /**
-     * A serving task is over its bound by its own load. Nothing joins it, as harmless as it may be:
-     * it would start at full pace where there is no room for it. It joins once the tail is low.
+     * A serving task is over its bound through its own load. No task joins it, however harmless,
+     * because it would start at full pace where no headroom is left. It joins once the tail latency
+     * is low.
      */
     @Test
     public void startsNothingBesideTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
+      runServingTasks(simulation, 60_000, "s");
       worker.loads.put("s", 18.5);
       simulation.run(1_200);
       simulation.submit(bestEffort("g", "other"));
@@ -108,15 +113,15 @@
     }
 
     /**
-     * The order to halt a run gets no answer: the run may go on at full pace. The order goes out
-     * again with the next report, until it is answered.
+     * The order to halt a run gets no answer, so the run may continue at full pace. The order is
+     * sent again after the next report, until it is answered.
      */
     @Test
     public void repeatsPaceOrderWhenItsAnswerIsLost() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
-      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(500);
       long before = simulation.paces("f.0.0.0");
       simulation.post(
@@ -127,15 +132,16 @@
     }
 
     /**
-     * A leader halts a run and dies. The next one does not know the pace; it orders full pace once
-     * the tails allow it. Otherwise the run would stand still until its job is given up.
+     * A leader halts a run and crashes. The next leader does not know the pace, so it orders full
+     * pace once the tail latencies allow it. Otherwise the run would stay halted until its job is
+     * abandoned.
      */
     @Test
     public void restoresPaceAfterTakeover() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
-      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_000);
       assertEquals(simulation.lastPace("f.0.0.0"), 0);
       worker.loads.put("s", 5.0);
@@ -145,15 +151,16 @@
     }
 
     /**
-     * What fills was halted beside a serving task, and that task's job is cancelled. Nothing needs
-     * protection any more; without an order the run would stand still until its job is given up.
+     * A best-effort run was halted beside a serving task whose job is then cancelled. No serving
+     * task is left to protect. Without an order the run would stay halted until its job is
+     * abandoned.
      */
     @Test
     public void restoresPaceWhenNoServingTaskIsLeft() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
-      harm(simulation, worker, bestEffort("f", "batch"), 200.0);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_500);
       assertEquals(simulation.lastPace("f.0.0.0"), 0);
       simulation.post(new JobEvent.JobCancelled(new JobId("s")));
@@ -162,14 +169,15 @@
     }
 
     /**
-     * A run is halted beside a serving task, and no other worker has room. It is stopped and waits
-     * with its job's urgency; left there, it stood still for as long as other jobs kept coming.
+     * A run is halted beside a serving task, and no other worker has free capacity. The run is
+     * stopped and its task waits with the urgency of its job. If it were left there, it would stay
+     * halted for as long as other jobs kept arriving.
      */
     @Test
     public void stopsHaltedRunThoughNoOtherWorkerHasCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 60_000, "s");
+      runServingTasks(simulation, 60_000, "s");
       simulation.submit(
           job(
               "f",
@@ -212,15 +220,15 @@
     }
 
     /**
-     * An image is known to harm all that serves, and most of the workers are idle. Its job still
-     * gets a place: its caller would otherwise see it wait for ever beside free workers.
+     * An image is known to harm all serving tasks, and most of the workers are idle. Its job is
+     * still placed: otherwise its caller would see it wait indefinitely beside free workers.
      */
     @Test
     public void runsHarmfulImageWherePoolIsLightlyReserved() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 3_000, "s");
-      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      runServingTasks(simulation, 3_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
       simulation.run(3_500);
       worker.loads.put("s", 5.0);
       simulation.submit(bestEffort("f2", "batch"));
@@ -229,16 +237,16 @@
     }
 
     /**
-     * Another pool stands idle. That makes no room beside the serving tasks of this one: the
-     * harmful image goes on waiting for a harmless place.
+     * Another pool is idle. That adds no capacity beside the serving tasks of this pool, so the
+     * harmful image keeps waiting for a worker where it does no harm.
      */
     @Test
     public void keepsHarmfulImageWaitingThoughAnotherPoolIsIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
-      serve(simulation, 3_000, "s", "t", "u");
-      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
-      harmWhileBeside(simulation, worker, 3_500);
+      runServingTasks(simulation, 3_000, "s", "t", "u");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      raiseTailWhileBothRun(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
       simulation.submit(bestEffort("f2", "batch"));
       simulation.run(1_000);
@@ -246,16 +254,16 @@
     }
 
     /**
-     * One pair of images is seen to multiply a tail by ten. From then on tasks of that image wait
-     * for another worker instead of joining the serving task again.
+     * A best-effort image is measured to multiply a tail latency by ten. From then on its tasks
+     * wait for another worker instead of joining that serving image again.
      */
     @Test
     public void separatesPairsKnownToInterfere() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
       JobSimulation simulation = lab(worker);
-      serve(simulation, 3_000, "s", "t", "u");
-      harm(simulation, worker, bestEffort("f1", "batch"), 180.0);
-      harmWhileBeside(simulation, worker, 3_500);
+      runServingTasks(simulation, 3_000, "s", "t", "u");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      raiseTailWhileBothRun(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
       simulation.submit(bestEffort("f2", "batch"));
       simulation.run(1_000);
--- a/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Tests of the room that new services leave to short tasks. */
+/** Tests of the capacity that new services leave to short tasks. */
 public class ShortTaskReserveTest {
 
   private static final int WORKERS = 4;
@@ -38,8 +38,11 @@
         .count();
   }
 
-  /** Services hold 48 of 64 cores; short tasks then held the other 16 a moment ago. */
-  private static JobSimulation busy() {
+  /**
+   * Returns a fleet on which services hold 48 of 64 cores, and short tasks held the other 16 a
+   * moment ago.
+   */
+  private static JobSimulation busyFleet() {
     JobSimulation simulation = fleet();
     simulation.workMillis = 300_000;
     simulation.submit(service("old", 12, 4));
@@ -50,16 +53,16 @@
     return simulation;
   }
 
-  /** New services. */
+  /** Services that have never run. */
   public static class NewServices {
 
     /**
-     * Services hold three quarters of the processors and short tasks need the rest again and again.
-     * A service that begins now would keep them out for minutes; it waits.
+     * Services hold three quarters of the processors, and short tasks need the rest again and
+     * again. A service that began now would block the short tasks for minutes, so it waits.
      */
     @Test
     public void waitWhileShortTasksNeedCapacity() {
-      JobSimulation simulation = busy();
+      JobSimulation simulation = busyFleet();
       simulation.workMillis = 300_000;
       simulation.submit(service("new", 4, 4));
       simulation.run(5_000);
@@ -70,10 +73,10 @@
       assertEquals(running(simulation, "next"), 4);
     }
 
-    /** Short tasks no longer come: their last peak is forgotten, and the service begins. */
+    /** Short tasks no longer arrive. Their last peak decays, and the service begins. */
     @Test
     public void beginOnceThePeakHasDecayed() {
-      JobSimulation simulation = busy();
+      JobSimulation simulation = busyFleet();
       simulation.workMillis = 300_000;
       simulation.submit(service("new", 1, 4));
       simulation.run(12_000);
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Short tasks take all that is left, but services hold little. The users of a new one would see
-     * it wait beside a fleet that is half idle, so it begins at once.
+     * Short tasks use all free processors, but services hold few. A new service would wait beside a
+     * fleet that is half idle, so it begins at once.
      */
     @Test
     public void beginWhereLittleIsReserved() {
@@ -96,16 +99,17 @@
     }
   }
 
-  /** Services that ran before. */
+  /** Services that have run before. */
   public static class RestartedServices {
 
     /**
-     * A worker is lost with four tasks of a service. Its users miss them, so they come back as soon
-     * as the worker's leases have ended, though that leaves short tasks less than they need.
+     * A worker is lost with four tasks of a service. Its users miss them, so they restart as soon
+     * as the worker's leases have ended, although that leaves short tasks less capacity than they
+     * need.
      */
     @Test
     public void restartThoughShortTasksNeedCapacity() {
-      JobSimulation simulation = busy();
+      JobSimulation simulation = busyFleet();
       SimulatedWorker lost =
           simulation.workers.values().stream()
               .filter(worker -> running(worker, "old") > 0)
@@ -120,7 +124,7 @@
     }
   }
 
-  /** Loads replayed against all decisions of a leader. */
+  /** Replays of workloads against all decisions of a leader. */
   public static class Replayed {
 
     private static final double SERVICES = 0.95;
@@ -128,9 +132,9 @@
     private static final int SEEDS = 3;
 
     /**
-     * Services ask for 95 % of the processors, short jobs for 5 % and more. Nine in ten of the
-     * short ones are served in time, by value; where services took what became free it was six in
-     * ten. Services get nine tenths of the time that they ask for.
+     * Services request 95 % of the processors, short jobs 5 % and more. Nine in ten of the short
+     * jobs, by value, are complete in time. If services could take all capacity that becomes free,
+     * it would be six in ten. Services get nine tenths of the time that they request.
      */
     @Test
     public void shortJobsFindCapacityBesideServices() {
--- a/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
+++ b/core/src/test/java/org/cottontack/core/job/UrgencyTest.java
@@ -36,23 +36,23 @@
         .order(jobs, nowMillis).stream().map(job -> job.spec.id().value()).toList();
   }
 
-  /** Who goes first. */
+  /** The order of jobs. */
   public static class Order {
 
     @Test
-    public void smallBeforeLarge() {
+    public void placesSmallBeforeLarge() {
       List<Job> jobs = List.of(waiting("large", 20, 2_000, 0), waiting("small", 4, 2_000, 0));
       assertEquals(order(jobs, 0), List.of("small", "large"));
     }
 
     @Test
-    public void lessTimeLeftBeforeMore() {
+    public void placesLessTimeLeftBeforeMore() {
       List<Job> jobs = List.of(waiting("fresh", 8, 2_000, 2_500), waiting("old", 8, 2_000, 0));
       assertEquals(order(jobs, 2_500), List.of("old", "fresh"));
     }
 
     @Test
-    public void inTimeBeforeLateBeforeTooLate() {
+    public void placesInTimeBeforeLateBeforeTooLate() {
       List<Job> jobs =
           List.of(
               waiting("tooLate", 8, 2_000, 0),
@@ -62,11 +62,12 @@
     }
 
     /**
-     * A new service would take for minutes the room that short jobs wait for. One that has lost a
-     * task is whole again first, and so is one that has waited long.
+     * A new service would use, for minutes, the capacity that short jobs wait for, so it comes
+     * after them. A service that has lost a task comes before them, and so does one that has waited
+     * long.
      */
     @Test
-    public void newServicesAfterShortJobs() {
+    public void placesNewServicesAfterShortJobs() {
       Job running = longRunning("running", 19_000);
       running.begun = true;
       List<Job> jobs =
@@ -79,9 +80,9 @@
       assertEquals(order(jobs, 20_000), List.of("running", "waited", "short", "new", "hopeless"));
     }
 
-    /** A large job that is nearly done is finished before a new one of half its size begins. */
+    /** A large job that is nearly done is placed before a new one of half its size. */
     @Test
-    public void nearlyDoneBeforeNew() {
+    public void placesNearlyDoneBeforeNew() {
       Job nearly = waiting("nearly", 20, 2_000, 0);
       nearly.tasks().skip(2).forEach(task -> task.phase = Task.Phase.DONE);
       assertEquals(
@@ -89,16 +90,16 @@
     }
   }
 
-  /** A burst that brings more than fits. */
+  /** A burst of more work than the workers can do. */
   public static class Overload {
 
     private static final int CORES = 40;
     private static final long STEP_MILLIS = 100;
 
     /**
-     * Callers bring nearly twice what fits for 30 s. Ordered by deadlines, 38 of 60 jobs are in
-     * time here, since large jobs take the workers until small ones have no time left. In this
-     * order 44 are, and a large one among them: they are not starved.
+     * Callers submit nearly twice the work that fits for 30 s. Ordered by deadline, 38 of the 60
+     * jobs are in time, because large jobs use the workers until small ones have no time left.
+     * Ordered by urgency 44 are, and a large one is among them, so large jobs are not starved.
      */
     @Test
     public void keepsMostJobsInTime() {
@@ -128,7 +129,7 @@
       assertTrue(large > 0, "no large job was in time");
     }
 
-    /** Gives the cores to tasks in order; each advances by one step. */
+    /** Gives the cores to tasks in order. Each of these tasks advances by one step. */
     private static void work(List<Job> open, long now) {
       int free = CORES;
       for (Job job : new Urgency(new DurationEstimates()).order(open, now)) {
