--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -209,6 +209,7 @@
     }
   }
 
+  /** Defers the acknowledgement of an earlier run's completion while its task is pinned. */
   private void deferAcknowledgement(Task task, Task.EarlierCompletion completion) {
     long millis = task.pinnedForMillis(now.mono()).orElse(0);
     worker(completion.on())
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -7,14 +7,14 @@
 import java.util.stream.IntStream;
 
 /**
- * Orders waiting jobs by urgency. During a burst more work arrives than the workers can do. Ordered
- * by arrival or by deadline, all jobs would then be late by the whole backlog. Capacity therefore
- * goes where it brings callers the most value for the work that is left: to jobs that can still be
- * on time, and among them to small and nearly finished ones, the more so the less time is left.
- * Jobs that can only be late come next, and jobs that are too late to matter use the capacity that
- * is left. A new long-running job would keep the capacity that short tasks need for minutes, and
- * brings a quarter of the value that they bring for it. It begins in the capacity that they leave,
- * but goes first once it has waited long.
+ * Orders waiting jobs by urgency. During a burst more work arrives than the workers can do. In
+ * order of arrival or of deadline, all jobs would then be late by the whole backlog. Capacity
+ * therefore goes where it brings callers the most value for the work that is left: to jobs that can
+ * still be on time, and among them to small and nearly finished ones, the more so the less time is
+ * left. Jobs that can only be late come next, and jobs that are too late to matter use the capacity
+ * that is left. A new long-running job would occupy for minutes the capacity that short tasks need,
+ * and would bring a quarter of the value that they bring for it. It begins in the capacity that
+ * they leave, but is placed first once it has waited long.
  */
 final class Urgency {
 
@@ -61,7 +61,7 @@
     }
   }
 
-  /** How long a new long-running job is placed after short ones, in milliseconds. */
+  /** Maximum time for which a new long-running job is placed after short ones, in milliseconds. */
   private static final long MAX_DEFERRAL_MILLIS = 10_000;
 
   /** A waiting job and the keys by which it is sorted. */
