--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -10,166 +10,175 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of tasks that fill beside tasks that serve, in virtual time. */
+/** Tests of best-effort tasks beside serving tasks, in simulated time. */
 public class SharingTest {
 
-  /** Paces and places of tasks that fill. */
-  public static class Filling {
+  /** Paces and placement of best-effort tasks. */
+  public static class BestEffortTasks {
 
     private static JobSpec serving(String id, String image) {
       return job(id, step(1, 4, List.of(), 0, image, 18, StepSpec.Trait.LASTS));
     }
 
-    private static JobSpec filling(String id, String image) {
+    private static JobSpec bestEffort(String id, String image) {
       return job(id, step(1, 4, List.of(), 0, image, 0, StepSpec.Trait.FILLS));
     }
 
-    /** Runs one serving task of an image for each id. */
-    private static void serve(JobSimulation lab, long workMillis, String... ids) {
-      lab.workMillis = workMillis;
-      List.of(ids).forEach(id -> lab.submit(serving(id, "web")));
-      lab.run(300);
+    /** Runs one serving task for each id, all of the same image. */
+    private static void runServingTasks(JobSimulation simulation, long workMillis, String... ids) {
+      simulation.workMillis = workMillis;
+      List.of(ids).forEach(id -> simulation.submit(serving(id, "web")));
+      simulation.run(300);
     }
 
-    /** Has a task that fills work at 4 cores while the tail of the serving task s is as given. */
-    private static void harm(
-        JobSimulation lab, SimulatedWorker worker, JobSpec filling, double tail) {
-      lab.submit(filling);
+    /**
+     * Submits a best-effort task that uses 4 cores, and sets the tail latency of the serving task
+     * s.
+     */
+    private static void submitHarmful(
+        JobSimulation simulation, SimulatedWorker worker, JobSpec bestEffort, double tail) {
+      simulation.submit(bestEffort);
       worker.loads.put("s", tail);
-      worker.loads.put(filling.id().value(), 4_000.0);
+      worker.loads.put(bestEffort.id().value(), 4_000.0);
     }
 
     /**
-     * Lets time pass in which the tail of s is high while f1 works beside it, and low otherwise.
+     * Runs the simulation with a high tail latency of s while f1 runs beside it, and a low one
+     * otherwise.
      */
-    private static void harmWhileBeside(JobSimulation lab, SimulatedWorker worker, long millis) {
+    private static void raiseTailWhileBothRun(
+        JobSimulation simulation, SimulatedWorker worker, long millis) {
       for (long passed = 0; passed < millis; passed += 50) {
         worker.loads.put("s", worker.runs(TaskName.parse("f1.0.0.0")) ? 180.0 : 5.0);
-        lab.run(50);
+        simulation.run(50);
       }
     }
 
     /**
-     * A task that fills pushes a serving task's tail far over its bound. Its pace goes to zero
-     * within the next reports; the users of the serving task see a short bump only.
+     * A best-effort task pushes the tail latency of a serving task far over its bound. Its pace is
+     * set to zero within the next reports, so that users of the serving task see only a short peak.
      */
     @Test
-    public void haltsWhatPushesTailsOverItsBound() {
+    public void haltsRunThatPushesTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_500);
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_500);
       assertTrue(
-          lab.seen.stream()
+          simulation.seen.stream()
               .anyMatch(e -> e instanceof JobEffect.PaceRun pace && pace.percent() == 0));
     }
 
     /**
-     * A tail is over its bound, and the report in between reads just under it. What fills is halted
-     * all the same, and no new task that fills joins: it would start at full pace.
+     * A tail latency is over its bound, and one report in between is just under it. Best-effort
+     * tasks stay halted, and no new one joins, because it would start at full pace.
      */
     @Test
-    public void oneMilderReportEndsNoAlarm() {
+    public void staysHaltedAfterOneReportBelowTheBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      lab.submit(filling("f", "batch"));
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      simulation.submit(bestEffort("f", "batch"));
       worker.loads.put("f", 0.1);
       worker.loads.put("s", 18.5);
-      lab.run(600);
+      simulation.run(600);
       worker.loads.put("s", 17.0);
-      lab.run(600);
+      simulation.run(600);
       worker.loads.put("s", 18.5);
-      lab.submit(filling("g", "other"));
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
+      simulation.submit(bestEffort("g", "other"));
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
       assertFalse(worker.runs(TaskName.parse("g.0.0.0")));
     }
 
     /**
-     * A serving task is over its bound by its own load. Nothing joins it, as harmless as it may be:
-     * it would start at full pace where there is no room for it. It joins once the tail is low.
+     * A serving task is over its bound through its own load. No task joins it, however harmless,
+     * because it would start at full pace where no headroom is left. It joins once the tail latency
+     * is low.
      */
     @Test
-    public void nothingJoinsBesideTailOverItsBound() {
+    public void startsNothingBesideTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
       worker.loads.put("s", 18.5);
-      lab.run(1_200);
-      lab.submit(filling("g", "other"));
-      lab.run(1_200);
+      simulation.run(1_200);
+      simulation.submit(bestEffort("g", "other"));
+      simulation.run(1_200);
       assertFalse(worker.runs(TaskName.parse("g.0.0.0")));
       worker.loads.put("s", 5.0);
-      lab.run(1_500);
+      simulation.run(1_500);
       assertTrue(worker.runs(TaskName.parse("g.0.0.0")));
     }
 
     /**
-     * The order to halt a run gets no answer: the run may go on at full pace. The order goes out
-     * again with the next report, until it is answered.
+     * The order to halt a run gets no answer, so the run may continue at full pace. The order is
+     * sent again after the next report, until it is answered.
      */
     @Test
-    public void ordersThePaceAgainWhenTheAnswerIsLost() {
+    public void repeatsPaceOrderWhenItsAnswerIsLost() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(500);
-      long before = lab.paces("f.0.0.0");
-      lab.post(
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(500);
+      long before = simulation.paces("f.0.0.0");
+      simulation.post(
           new JobEvent.PaceLost(
               worker.info.incarnation(), new RunKey(TaskName.parse("f.0.0.0"), 1)));
-      lab.run(1_000);
-      assertTrue(lab.paces("f.0.0.0") > before, "orders: " + lab.paces("f.0.0.0"));
+      simulation.run(1_000);
+      assertTrue(simulation.paces("f.0.0.0") > before, "orders: " + simulation.paces("f.0.0.0"));
     }
 
     /**
-     * A leader halts a run and dies. The next one does not know the pace; it orders full pace once
-     * the tails allow it. Otherwise the run would stand still until its job is given up.
+     * A leader halts a run and crashes. The next leader does not know the pace, so it orders full
+     * pace once the tail latencies allow it. Otherwise the run would stay halted until its job is
+     * abandoned.
      */
     @Test
-    public void givesPaceBackAfterTakeover() {
+    public void restoresPaceAfterTakeover() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_000);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_000);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
       worker.loads.put("s", 5.0);
-      lab.takeOver();
-      lab.run(3_000);
-      assertEquals(lab.lastPace("f.0.0.0"), Task.FULL_PACE);
+      simulation.takeOver();
+      simulation.run(3_000);
+      assertEquals(simulation.lastPace("f.0.0.0"), Task.FULL_PACE);
     }
 
     /**
-     * What fills was halted beside a serving task, and that task's job is cancelled. Nothing needs
-     * protection any more; without an order the run would stand still until its job is given up.
+     * A best-effort run was halted beside a serving task whose job is then cancelled. No serving
+     * task is left to protect. Without an order the run would stay halted until its job is
+     * abandoned.
      */
     @Test
-    public void givesPaceBackWhenNothingServesAnyMore() {
+    public void restoresPaceWhenNoServingTaskIsLeft() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      harm(lab, worker, filling("f", "batch"), 200.0);
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), 0);
-      lab.post(new JobEvent.JobCancelled(new JobId("s")));
-      lab.run(1_500);
-      assertEquals(lab.lastPace("f.0.0.0"), Task.FULL_PACE);
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), 0);
+      simulation.post(new JobEvent.JobCancelled(new JobId("s")));
+      simulation.run(1_500);
+      assertEquals(simulation.lastPace("f.0.0.0"), Task.FULL_PACE);
     }
 
     /**
-     * A run is halted beside a serving task, and no other worker has room. It is stopped and waits
-     * with its job's urgency; left there, it stood still for as long as other jobs kept coming.
+     * A run is halted beside a serving task, and no other worker has free capacity. The run is
+     * stopped and its task waits with the urgency of its job. If it were left there, it would stay
+     * halted for as long as other jobs kept arriving.
      */
     @Test
-    public void stopsWhatIsHaltedThoughNothingElseHasRoom() {
+    public void stopsHaltedRunThoughNoOtherWorkerHasCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 60_000, "s");
-      lab.submit(
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 60_000, "s");
+      simulation.submit(
           job(
               "f",
               step(
@@ -183,10 +192,10 @@
                   StepSpec.Trait.CHECKPOINTS)));
       worker.loads.put("s", 200.0);
       worker.loads.put("f", 4_000.0);
-      lab.run(4_000);
+      simulation.run(4_000);
       assertFalse(worker.runs(TaskName.parse("f.0.0.0")));
       assertTrue(
-          lab.seen.stream()
+          simulation.seen.stream()
               .anyMatch(
                   e ->
                       e instanceof JobEffect.StopRun stop
@@ -197,70 +206,70 @@
     public void packsServingTasksOfOneImage() {
       SimulatedWorker first = new SimulatedWorker("w1", 16);
       SimulatedWorker second = new SimulatedWorker("w2", 16);
-      JobSimulation lab = lab(first, second);
-      lab.workMillis = 60_000;
-      lab.submit(serving("s1", "web"));
-      lab.run(200);
-      lab.submit(serving("s2", "mail"));
-      lab.run(200);
-      lab.submit(serving("s3", "web"));
-      lab.run(200);
+      JobSimulation simulation = lab(first, second);
+      simulation.workMillis = 60_000;
+      simulation.submit(serving("s1", "web"));
+      simulation.run(200);
+      simulation.submit(serving("s2", "mail"));
+      simulation.run(200);
+      simulation.submit(serving("s3", "web"));
+      simulation.run(200);
       SimulatedWorker web = first.runs(TaskName.parse("s1.0.0.0")) ? first : second;
       assertTrue(web.runs(TaskName.parse("s3.0.0.0")));
       assertFalse(web.runs(TaskName.parse("s2.0.0.0")));
     }
 
     /**
-     * An image is known to harm all that serves, and most of the workers are idle. Its job still
-     * gets a place: its caller would otherwise see it wait for ever beside free workers.
+     * An image is known to harm all serving tasks, and most of the workers are idle. Its job is
+     * still placed: otherwise its caller would see it wait indefinitely beside free workers.
      */
     @Test
-    public void harmfulImagesRunWhereMostIsFree() {
+    public void runsHarmfulImageWherePoolIsLightlyReserved() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 3_000, "s");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      lab.run(3_500);
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 3_000, "s");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      simulation.run(3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertTrue(worker.runs(TaskName.parse("f2.0.0.0")));
     }
 
     /**
-     * Another pool stands idle. That makes no room beside the serving tasks of this one: the
-     * harmful image goes on waiting for a harmless place.
+     * Another pool is idle. That adds no capacity beside the serving tasks of this pool, so the
+     * harmful image keeps waiting for a worker where it does no harm.
      */
     @Test
-    public void anotherIdlePoolMakesNoRoom() {
+    public void keepsHarmfulImageWaitingThoughAnotherPoolIsIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
-      serve(lab, 3_000, "s", "t", "u");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      harmWhileBeside(lab, worker, 3_500);
+      JobSimulation simulation = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
+      runServingTasks(simulation, 3_000, "s", "t", "u");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      raiseTailWhileBothRun(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertFalse(worker.runs(TaskName.parse("f2.0.0.0")));
     }
 
     /**
-     * One pair of images is seen to multiply a tail by ten. From then on tasks of that image wait
-     * for another worker instead of joining the serving task again.
+     * A best-effort image is measured to multiply a tail latency by ten. From then on its tasks
+     * wait for another worker instead of joining that serving image again.
      */
     @Test
-    public void keepsPairsApartOnceKnownToHurt() {
+    public void separatesPairsKnownToInterfere() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
-      serve(lab, 3_000, "s", "t", "u");
-      harm(lab, worker, filling("f1", "batch"), 180.0);
-      harmWhileBeside(lab, worker, 3_500);
+      JobSimulation simulation = lab(worker);
+      runServingTasks(simulation, 3_000, "s", "t", "u");
+      submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
+      raiseTailWhileBothRun(simulation, worker, 3_500);
       worker.loads.put("s", 5.0);
-      lab.submit(filling("f2", "batch"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f2", "batch"));
+      simulation.run(1_000);
       assertFalse(worker.runs(TaskName.parse("f2.0.0.0")));
-      lab.submit(filling("f3", "harmless"));
-      lab.run(1_000);
+      simulation.submit(bestEffort("f3", "harmless"));
+      simulation.run(1_000);
       assertTrue(worker.runs(TaskName.parse("f3.0.0.0")));
     }
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -102,7 +102,7 @@
         request(rows).filter(request -> request.epoch() == epoch).map(Request::capacity);
     return Stream.of(capacity(rows.get(CAPACITY)), requested)
         .flatMap(Optional::stream)
-        .mapToLong(candidacy::standBackMillis)
+        .mapToLong(candidacy::takeoverDelayMillis)
         .max()
         .orElse(0);
   }
@@ -127,7 +127,7 @@
     if (!supportsRequests || !mayRequest(nowMillis, epoch, held)) {
       return Optional.empty();
     }
-    candidacy.asking(nowMillis, epoch);
+    candidacy.requesting(nowMillis, epoch);
     Request request = new Request(epoch, instance.capacity(), instance.dataCentre());
     return Optional.of(
         new Transaction(
@@ -137,7 +137,9 @@
   }
 
   private boolean mayRequest(long nowMillis, long epoch, Row held) {
-    return capacity(held).filter(leader -> candidacy.mayAsk(nowMillis, epoch, leader)).isPresent();
+    return capacity(held)
+        .filter(leader -> candidacy.mayRequest(nowMillis, epoch, leader))
+        .isPresent();
   }
 
   private static Optional<Capacity> capacity(Row row) {
@@ -190,6 +192,6 @@
   /** Ends a term; this instance requests nothing for a while. */
   void ended(long nowMillis) {
     pendingRequest = Optional.empty();
-    candidacy.keepQuiet(nowMillis);
+    candidacy.suppressRequests(nowMillis);
   }
 }
