--- a/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
+++ b/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
@@ -29,22 +29,22 @@
    * Time in which half of an unusual level is forgotten, in seconds: a service that never ran alone
    * is rather harmed by what always fills beside it than over its bound by its own load.
    */
-  private static final double HALF_SECONDS = 15;
+  private static final double HALF_LIFE_SECONDS = 15;
 
   /**
    * Difference above which a report is no news of a service's own load: what one of its tasks has
    * beyond that comes from its worker.
    */
-  private static final double MOST_MOVED = 0.6;
+  private static final double MAX_CORRECTION = 0.6;
 
   /** A service that is alone is about within its bound: what it lacks beyond that is harm. */
   private static final double LEAST_LEVEL = 0.9;
 
   /** Steepest slope of a swing, per second. */
-  private static final double STEEPEST = 0.8;
+  private static final double MAX_SLOPE = 0.8;
 
   /** Longest span that a slope is followed for, in seconds: a swing has turned by then. */
-  private static final double FOLLOWED_SECONDS = 1.5;
+  private static final double MAX_EXTRAPOLATION_SECONDS = 1.5;
 
   private static final double MILLIS = 1_000.0;
 
@@ -54,19 +54,19 @@
   private double covariance;
   private double slopeVariance = FIRST_SLOPE_VARIANCE;
   private long atMillis;
-  private boolean begun;
+  private boolean started;
 
   /** Lets time pass up to a report. */
   void advance(long millis) {
-    if (!begun) {
-      begun = true;
+    if (!started) {
+      started = true;
       atMillis = millis;
       return;
     }
     double seconds = Math.max(0, millis - atMillis) / MILLIS;
     atMillis = Math.max(atMillis, millis);
-    level += slope * Math.min(seconds, FOLLOWED_SECONDS);
-    level += (FIRST_LEVEL - level) * (1 - Math.pow(0.5, seconds / HALF_SECONDS));
+    level += slope * Math.min(seconds, MAX_EXTRAPOLATION_SECONDS);
+    level += (FIRST_LEVEL - level) * (1 - Math.pow(0.5, seconds / HALF_LIFE_SECONDS));
     levelVariance +=
         2 * seconds * covariance + seconds * seconds * slopeVariance + LEVEL_NOISE * seconds;
     covariance += seconds * slopeVariance;
@@ -93,9 +93,9 @@
   void correct(double difference, double variance) {
     double levelGain = levelVariance / variance;
     double slopeGain = covariance / variance;
-    double moved = Math.max(-MOST_MOVED, Math.min(MOST_MOVED, difference));
-    level = Math.max(LEAST_LEVEL, level + levelGain * moved);
-    slope = Math.max(-STEEPEST, Math.min(STEEPEST, slope + slopeGain * moved));
+    double correction = Math.max(-MAX_CORRECTION, Math.min(MAX_CORRECTION, difference));
+    level = Math.max(LEAST_LEVEL, level + levelGain * correction);
+    slope = Math.max(-MAX_SLOPE, Math.min(MAX_SLOPE, slope + slopeGain * correction));
     slopeVariance -= slopeGain * covariance;
     covariance -= levelGain * covariance;
     levelVariance -= levelGain * levelVariance;
@@ -112,7 +112,7 @@
 
   /** Returns the probable headroom at a time. */
   double at(long millis) {
-    double seconds = begun ? (millis - atMillis) / MILLIS : 0;
-    return level + slope * Math.max(0, Math.min(seconds, FOLLOWED_SECONDS));
+    double seconds = started ? (millis - atMillis) / MILLIS : 0;
+    return level + slope * Math.max(0, Math.min(seconds, MAX_EXTRAPOLATION_SECONDS));
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
+++ b/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
@@ -6,13 +6,13 @@
  * What decides whether one more task that fills may join a worker. It is kept until something on
  * the worker changes: each waiting task asks every worker.
  *
- * @param alarmed whether a tail is over its bound
- * @param leftover processor time that nothing uses, in thousandths of a core
+ * @param overBound whether a tail is over its bound
+ * @param leftoverCpu processor time that nothing uses, in thousandths of a core
  * @param tolerance share of the images that may fill beside the least tolerant image there
  * @param neighbours the services there
  */
 record ContentionSnapshot(
-    boolean alarmed, long leftover, double tolerance, List<Neighbour> neighbours) {
+    boolean overBound, long leftoverCpu, double tolerance, List<Neighbour> neighbours) {
 
   /** How far ahead a place is judged, in milliseconds: later, paces follow the load. */
   private static final long SOON_MILLIS = 200;
@@ -20,17 +20,18 @@
   private static final long LATER_MILLIS = 500;
 
   /** Headroom taken that does not count: less than reports differ by. */
-  static final double LEAST_EFFECT = 0.02;
+  static final double NEGLIGIBLE_EFFECT = 0.02;
 
   /**
    * A service on the worker.
    *
    * @param task one of its tasks
-   * @param pressure headroom that what fills there takes already
-   * @param room headroom that may be taken now and in the next second
-   * @param watching whether it shows first what an image there does to it
+   * @param headroomUsed headroom that what fills there takes already
+   * @param headroomAvailable headroom that may be taken now and in the next second
+   * @param unknownImagePresent whether it shows first what an image there does to it
    */
-  record Neighbour(Task task, double pressure, double room, boolean watching) {}
+  record Neighbour(
+      Task task, double headroomUsed, double headroomAvailable, boolean unknownImagePresent) {}
 
   static ContentionSnapshot of(Worker worker, Interference interference, long nowMillis) {
     return new ContentionSnapshot(
@@ -44,12 +45,14 @@
 
   private static Neighbour neighbour(
       Worker worker, Task task, Interference interference, long nowMillis) {
-    double room =
+    double headroomAvailable =
         Math.min(
-            interference.roomFor(task, nowMillis + SOON_MILLIS),
-            interference.roomFor(task, nowMillis + LATER_MILLIS));
-    boolean watching = worker.bestEffort().anyMatch(other -> interference.unknown(task, other));
-    return new Neighbour(task, interference.pressureOn(worker, task), room, watching);
+            interference.availableHeadroom(task, nowMillis + SOON_MILLIS),
+            interference.availableHeadroom(task, nowMillis + LATER_MILLIS));
+    boolean unknownImagePresent =
+        worker.bestEffort().anyMatch(other -> interference.unknown(task, other));
+    return new Neighbour(
+        task, interference.headroomUse(worker, task), headroomAvailable, unknownImagePresent);
   }
 
   /**
@@ -57,26 +60,27 @@
    * a share of what may be taken. What takes next to nothing strains nothing. Of images that nobody
    * knows one at a time may join: of two, reports could not tell which one does the harm.
    */
-  double strainJoined(Worker worker, Task added, Interference interference) {
+  double headroomUseWith(Worker worker, Task added, Interference interference) {
     return neighbours.stream()
-        .mapToDouble(n -> strainOn(n, worker, added, interference))
+        .mapToDouble(n -> headroomUseOn(n, worker, added, interference))
         .max()
         .orElse(0);
   }
 
-  private static double strainOn(
+  private static double headroomUseOn(
       Neighbour neighbour, Worker worker, Task added, Interference interference) {
-    boolean told = !neighbour.watching() || !interference.unknown(neighbour.task(), added);
+    boolean attributable =
+        !neighbour.unknownImagePresent() || !interference.unknown(neighbour.task(), added);
     double effect = interference.effect(worker, neighbour.task(), added);
-    return told ? strain(neighbour, effect) : Double.MAX_VALUE;
+    return attributable ? headroomUse(neighbour, effect) : Double.MAX_VALUE;
   }
 
-  private static double strain(Neighbour neighbour, double effect) {
-    if (effect < LEAST_EFFECT) {
+  private static double headroomUse(Neighbour neighbour, double effect) {
+    if (effect < NEGLIGIBLE_EFFECT) {
       return 0;
     }
-    return neighbour.room() <= 0
+    return neighbour.headroomAvailable() <= 0
         ? Double.MAX_VALUE
-        : (neighbour.pressure() + effect) / neighbour.room();
+        : (neighbour.headroomUsed() + effect) / neighbour.headroomAvailable();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/DurationEstimates.java
+++ b/core/src/main/java/org/cottontack/core/job/DurationEstimates.java
@@ -16,7 +16,7 @@
   /**
    * Weight that all earlier runs keep with each new one: some 500 runs count, about 5 s of load.
    */
-  private static final double KEEP = 0.998;
+  private static final double RETENTION = 0.998;
 
   /** Runs that a queue's declared times are trusted as if they had been seen to be right. */
   private static final double TRUSTED_RUNS = 5;
@@ -25,7 +25,7 @@
   private static final double TRUSTED_VARIANCE = 0.25;
 
   /** Weight that earlier jobs keep in the mean work of a queue's jobs: some 50 jobs count. */
-  private static final double KEEP_WORK = 0.98;
+  private static final double WORK_RETENTION = 0.98;
 
   /**
    * What is known of a queue: sums over its runs, each weighted by its age, of logarithms of
@@ -56,14 +56,14 @@
     double product;
 
     void add(double x, double y) {
-      runs = KEEP * runs + 1;
-      declared = KEEP * declared + x;
-      measured = KEEP * measured + y;
-      declaredSquare = KEEP * declaredSquare + x * x;
-      product = KEEP * product + x * y;
+      runs = RETENTION * runs + 1;
+      declared = RETENTION * declared + x;
+      measured = RETENTION * measured + y;
+      declaredSquare = RETENTION * declaredSquare + x * x;
+      product = RETENTION * product + x * y;
     }
 
-    double at(double x) {
+    double predict(double x) {
       if (runs == 0) {
         return x;
       }
@@ -121,16 +121,17 @@
     Fit fit = fits.get(queue.name());
     return fit == null || step.estimateMillis() <= 0
         ? step.estimateMillis()
-        : Math.round(Math.exp(fit.at(Math.log((double) step.estimateMillis()))));
+        : Math.round(Math.exp(fit.predict(Math.log((double) step.estimateMillis()))));
   }
 
   /** Takes in the work of a job that arrived, in thousandths of a core times milliseconds. */
-  void arrived(JobQueue queue, double work) {
-    meanWork.merge(queue.name(), work, (mean, next) -> KEEP_WORK * mean + (1 - KEEP_WORK) * next);
+  void recordArrival(JobQueue queue, double work) {
+    meanWork.merge(
+        queue.name(), work, (mean, next) -> WORK_RETENTION * mean + (1 - WORK_RETENTION) * next);
   }
 
   /** Returns a job's work as a multiple of the mean of its queue's jobs. */
-  double relative(JobQueue queue, double work) {
+  double relativeWork(JobQueue queue, double work) {
     double mean = meanWork.getOrDefault(queue.name(), work);
     return mean > 0 ? work / mean : 1;
   }
--- a/core/src/main/java/org/cottontack/core/job/Interference.java
+++ b/core/src/main/java/org/cottontack/core/job/Interference.java
@@ -25,13 +25,13 @@
   double tolerance(Task serving);
 
   /** Returns how much of a serving task's headroom a task that fills takes at full pace. */
-  double effect(Worker worker, Task serving, Task filling);
+  double effect(Worker worker, Task serving, Task bestEffort);
 
   /** Returns whether no report has told yet what an image does to a serving task. */
-  boolean unknown(Task serving, Task filling);
+  boolean unknown(Task serving, Task bestEffort);
 
   /** Returns how much headroom neighbours of a serving task may take at a time; may be negative. */
-  double roomFor(Task serving, long millis);
+  double availableHeadroom(Task serving, long millis);
 
   /** Returns what is known, what was heard of last coming last. */
   Stream<Pair> pairs();
@@ -42,10 +42,10 @@
   /**
    * Returns what all that fills beside a serving task takes of its headroom at the present paces.
    */
-  default double pressureOn(Worker worker, Task serving) {
+  default double headroomUse(Worker worker, Task serving) {
     return worker
         .bestEffort()
-        .mapToDouble(f -> effect(worker, serving, f) * f.pace / Task.FULL_PACE)
+        .mapToDouble(other -> effect(worker, serving, other) * other.pace / Task.FULL_PACE)
         .sum();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
+++ b/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
@@ -31,10 +31,10 @@
   private static final double LEAST_WEIGHT = 0.2;
 
   /** Standard deviation of an image's effect through the phases of its work, as a share of it. */
-  private static final double PHASES = 0.6;
+  private static final double PHASE_DEVIATION = 0.6;
 
   /** Weight up to which an image may fill beside another at most times. */
-  private static final double MILD = 2.5;
+  private static final double MILD_WEIGHT = 2.5;
 
   /**
    * Images remembered; the one not heard of for longest makes room. Callers name images: without a
@@ -72,34 +72,36 @@
 
   /** A mixture of images beside a task, as it was reported, with what it should do. */
   final class Mixture {
-    private final int[] at;
-    private final double[] share;
+    private final int[] indexes;
+    private final double[] shares;
     private final double[] gain;
-    private final double pressure;
+    private final double headroomUse;
     private final double variance;
-    private final double phases;
+    private final double phaseVariance;
 
-    private Mixture(Map<String, Double> shares) {
-      at = shares.keySet().stream().mapToInt(InterferenceWeights.this::indexOf).toArray();
-      share = shares.values().stream().mapToDouble(Double::doubleValue).toArray();
+    private Mixture(Map<String, Double> shareByImage) {
+      indexes =
+          shareByImage.keySet().stream().mapToInt(InterferenceWeights.this::indexOf).toArray();
+      shares = shareByImage.values().stream().mapToDouble(Double::doubleValue).toArray();
       gain = new double[index.values().stream().mapToInt(slot -> slot + 1).max().orElse(0)];
-      double sum = 0;
-      double switched = 0;
-      for (int i = 0; i < at.length; i++) {
-        sum += weights[at[i]] * share[i];
-        switched += Math.pow(PHASES * weights[at[i]] * share[i], 2);
+      double headroomSum = 0;
+      double phaseVarianceSum = 0;
+      for (int i = 0; i < indexes.length; i++) {
+        headroomSum += weights[indexes[i]] * shares[i];
+        phaseVarianceSum += Math.pow(PHASE_DEVIATION * weights[indexes[i]] * shares[i], 2);
         for (int row = 0; row < gain.length; row++) {
-          gain[row] += covariance[row][at[i]] * share[i];
+          gain[row] += covariance[row][indexes[i]] * shares[i];
         }
       }
-      pressure = Math.max(0, sum);
-      phases = switched;
-      variance = IntStream.range(0, at.length).mapToDouble(i -> gain[at[i]] * share[i]).sum();
+      headroomUse = Math.max(0, headroomSum);
+      phaseVariance = phaseVarianceSum;
+      variance =
+          IntStream.range(0, indexes.length).mapToDouble(i -> gain[indexes[i]] * shares[i]).sum();
     }
 
     /** Returns the headroom that the mixture takes. */
-    double pressure() {
-      return pressure;
+    double headroomUse() {
+      return headroomUse;
     }
 
     /** Returns the variance of that. */
@@ -108,8 +110,8 @@
     }
 
     /** Returns the variance that comes with the phases of the tasks' work. */
-    double phases() {
-      return phases;
+    double phaseVariance() {
+      return phaseVariance;
     }
 
     /**
@@ -149,7 +151,7 @@
 
   /** Returns the share of known images that may fill here at most times. */
   double tolerance() {
-    long mild = index.values().stream().filter(at -> weights[at] < MILD).count();
+    long mild = index.values().stream().filter(at -> weights[at] < MILD_WEIGHT).count();
     return index.isEmpty() ? 1 : mild / (double) index.size();
   }
 
--- a/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
@@ -23,7 +23,7 @@
   private static final double NOISE = 0.01;
 
   /** Growth of its standard deviation with headroom squared: tails come in whole milliseconds. */
-  private static final double ROUNDING = 0.015;
+  private static final double ROUNDING_ERROR = 0.015;
 
   /** Headroom above which reports tell nothing more. */
   private static final double MOST_HEADROOM = 10;
@@ -35,7 +35,7 @@
    * A tail of this many times its bound tells of a worker that stands still, not of neighbours.
    * Taken for these, three such workers made all tasks of their services look overloaded.
    */
-  static final double STANDSTILL = 50;
+  static final double STALLED_WORKER_RATIO = 50;
 
   /** Headroom that stands for the worst lack. */
   private static final double LEAST_HEADROOM = -1;
@@ -44,26 +44,26 @@
   private static final double LEAST_SHARE = 0.005;
 
   /** How long what has ended still shows in reports, in milliseconds. */
-  private static final long ECHO_MILLIS = 500;
+  private static final long RESIDUAL_LOAD_MILLIS = 500;
 
   /** Headroom kept: reports are rough, and a bound that is just met is missed half of the time. */
   private static final double MARGIN = 0.16;
 
-  private static final int AT_WORK = 100;
+  private static final int SERVING_PROGRESS = 100;
 
   /** Services remembered: over twice as many as are to run at a time; the quietest makes room. */
   private static final int MOST_SERVICES = 4_096;
 
-  private final Map<String, InterferenceWeights> besides =
+  private final Map<String, InterferenceWeights> weightsByImage =
       new LruMap<>(InterferenceWeights.MOST_IMAGES);
-  private final Map<JobId, BaselineHeadroom> services = new LruMap<>(MOST_SERVICES);
+  private final Map<JobId, BaselineHeadroom> baselines = new LruMap<>(MOST_SERVICES);
 
-  private InterferenceWeights beside(Task serving) {
-    return besides.computeIfAbsent(serving.spec.image(), image -> new InterferenceWeights());
+  private InterferenceWeights weights(Task serving) {
+    return weightsByImage.computeIfAbsent(serving.spec.image(), image -> new InterferenceWeights());
   }
 
-  private BaselineHeadroom own(Task serving) {
-    return services.computeIfAbsent(serving.job.spec.id(), id -> new BaselineHeadroom());
+  private BaselineHeadroom baseline(Task serving) {
+    return baselines.computeIfAbsent(serving.job.spec.id(), id -> new BaselineHeadroom());
   }
 
   @Override
@@ -71,33 +71,38 @@
     Map<String, Double> shares = new HashMap<>();
     worker
         .bestEffort()
-        .forEach(t -> shares.merge(t.spec.image(), worker.share(t.load), Double::sum));
-    worker.residualLoads.removeIf(echo -> nowMillis - echo.endedMillis() >= ECHO_MILLIS);
+        .forEach(task -> shares.merge(task.spec.image(), worker.share(task.load), Double::sum));
+    worker.residualLoads.removeIf(
+        residual -> nowMillis - residual.endedMillis() >= RESIDUAL_LOAD_MILLIS);
     worker.residualLoads.forEach(
-        echo -> {
-          double left = 1 - (nowMillis - echo.endedMillis()) / (double) ECHO_MILLIS;
-          shares.merge(echo.image(), left * worker.share(echo.load()), Double::sum);
+        residual -> {
+          double left = 1 - (nowMillis - residual.endedMillis()) / (double) RESIDUAL_LOAD_MILLIS;
+          shares.merge(residual.image(), left * worker.share(residual.load()), Double::sum);
         });
     shares.values().removeIf(share -> share < LEAST_SHARE);
     worker
         .serving()
-        .filter(task -> task.progress == AT_WORK && task.load > 0)
-        .filter(task -> task.load < STANDSTILL * task.spec.targetMillis())
+        .filter(task -> task.progress == SERVING_PROGRESS && task.load > 0)
+        .filter(task -> task.load < STALLED_WORKER_RATIO * task.spec.targetMillis())
         .filter(task -> task.hasNewLoad(nowMillis))
         .forEach(task -> learn(task, shares, nowMillis - REPORT_AGE_MILLIS));
   }
 
   private void learn(Task serving, Map<String, Double> shares, long millis) {
     double headroom = headroom(serving);
-    BaselineHeadroom own = own(serving);
-    own.advance(millis);
-    InterferenceWeights.Mixture mixture = beside(serving).mixture(shares);
-    double predicted = Math.max(LEAST_HEADROOM, own.level() - mixture.pressure());
-    double rounding = ROUNDING * headroom * headroom;
+    BaselineHeadroom baseline = baseline(serving);
+    baseline.advance(millis);
+    InterferenceWeights.Mixture mixture = weights(serving).mixture(shares);
+    double predicted = Math.max(LEAST_HEADROOM, baseline.level() - mixture.headroomUse());
+    double rounding = ROUNDING_ERROR * headroom * headroom;
     double variance =
-        own.levelVariance() + mixture.variance() + mixture.phases() + NOISE + rounding * rounding;
+        baseline.levelVariance()
+            + mixture.variance()
+            + mixture.phaseVariance()
+            + NOISE
+            + rounding * rounding;
     serving.excess = predicted - headroom;
-    own.correct(headroom - predicted, variance);
+    baseline.correct(headroom - predicted, variance);
     mixture.correct(predicted - headroom, variance);
   }
 
@@ -114,35 +119,38 @@
 
   @Override
   public double tolerance(Task serving) {
-    return beside(serving).tolerance();
+    return weights(serving).tolerance();
   }
 
   @Override
-  public double effect(Worker worker, Task serving, Task filling) {
-    return beside(serving).weight(filling.spec.image()) * fullShare(worker, filling);
+  public double effect(Worker worker, Task serving, Task bestEffort) {
+    return weights(serving).weight(bestEffort.spec.image()) * fullShare(worker, bestEffort);
   }
 
   @Override
-  public boolean unknown(Task serving, Task filling) {
-    return beside(serving).unknown(filling.spec.image());
+  public boolean unknown(Task serving, Task bestEffort) {
+    return weights(serving).unknown(bestEffort.spec.image());
   }
 
-  private static double fullShare(Worker worker, Task filling) {
-    return worker.share((double) filling.spec.need().cpuMillis());
+  private static double fullShare(Worker worker, Task bestEffort) {
+    return worker.share((double) bestEffort.spec.need().cpuMillis());
   }
 
   @Override
-  public double roomFor(Task serving, long millis) {
-    return own(serving).at(millis) - 1 - MARGIN;
+  public double availableHeadroom(Task serving, long millis) {
+    return baseline(serving).at(millis) - 1 - MARGIN;
   }
 
   @Override
   public Stream<Pair> pairs() {
-    return besides.entrySet().stream().flatMap(entry -> entry.getValue().pairs(entry.getKey()));
+    return weightsByImage.entrySet().stream()
+        .flatMap(entry -> entry.getValue().pairs(entry.getKey()));
   }
 
   @Override
   public void restore(Pair pair) {
-    besides.computeIfAbsent(pair.serving(), image -> new InterferenceWeights()).restore(pair);
+    weightsByImage
+        .computeIfAbsent(pair.serving(), image -> new InterferenceWeights())
+        .restore(pair);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LearnedText.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedText.java
@@ -32,17 +32,17 @@
   private static final int QUEUE_FIELDS = 8;
 
   /** A life that may never list some of its ends. */
-  private static final String HIDES = "hides";
+  private static final String SUPPRESSED = "hides";
 
   /** A life to which ends were acknowledged. */
   private static final String ACKNOWLEDGED = "acknowledged";
 
-  private static final int LIFE_FIELDS = 3;
+  private static final int INCARNATION_FIELDS = 3;
 
   /** A life with held ends, and the lowest number of these. */
-  private static final String HELD = "held";
+  private static final String DEFERRED = "held";
 
-  private static final int HELD_FIELDS = LIFE_FIELDS + 1;
+  private static final int DEFERRED_FIELDS = INCARNATION_FIELDS + 1;
 
   /** Size that lives leave to queues and pairs, in bytes. */
   private static final int LEARNED_BYTES = 8_000;
@@ -50,10 +50,10 @@
   /**
    * A text that was written.
    *
-   * @param livesCut how many lives found no place in it
+   * @param incarnationsCut how many lives found no place in it
    * @param learnedCut how many queues and pairs found none
    */
-  record Written(String text, int livesCut, int learnedCut) {}
+  record Written(String text, int incarnationsCut, int learnedCut) {}
 
   private final Interference interference;
   private final DurationEstimates estimates;
@@ -68,25 +68,31 @@
    * were not heard of for longest are left out.
    */
   Written write(
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     List<String> pairs = interference.pairs().map(LearnedText::line).toList();
     List<String> learned =
         Stream.concat(estimates.queues().map(LearnedText::line), reversed(pairs).stream()).toList();
-    List<String> lives =
+    List<String> incarnations =
         Stream.of(
-                held.entrySet().stream()
-                    .map(entry -> lifeLine(HELD, entry.getKey()) + " " + entry.getValue()),
-                acknowledged.stream().map(life -> lifeLine(ACKNOWLEDGED, life)),
-                hiding.stream().map(life -> lifeLine(HIDES, life)))
+                deferred.entrySet().stream()
+                    .map(
+                        entry ->
+                            incarnationLine(DEFERRED, entry.getKey()) + " " + entry.getValue()),
+                acknowledged.stream()
+                    .map(incarnation -> incarnationLine(ACKNOWLEDGED, incarnation)),
+                suppressed.stream().map(incarnation -> incarnationLine(SUPPRESSED, incarnation)))
             .flatMap(lines -> lines)
             .toList();
-    List<String> keptLives = first(lives, MOST_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
-    List<String> keptLearned = first(learned, MOST_BYTES - bytes(keptLives));
+    List<String> keptIncarnations =
+        first(incarnations, MOST_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
+    List<String> keptLearned = first(learned, MOST_BYTES - bytes(keptIncarnations));
     String text =
-        Stream.concat(keptLives.stream(), keptLearned.stream()).collect(Collectors.joining("\n"));
-    return new Written(text, lives.size() - keptLives.size(), learned.size() - keptLearned.size());
+        Stream.concat(keptIncarnations.stream(), keptLearned.stream())
+            .collect(Collectors.joining("\n"));
+    return new Written(
+        text, incarnations.size() - keptIncarnations.size(), learned.size() - keptLearned.size());
   }
 
   private static List<String> first(List<String> lines, int mostBytes) {
@@ -104,11 +110,12 @@
     return reversed;
   }
 
-  private static String lifeLine(String what, WorkerIncarnation life) {
-    return String.join(" ", what, escape(life.worker().value()), "" + life.startTimeMillis());
+  private static String incarnationLine(String kind, WorkerIncarnation incarnation) {
+    return String.join(
+        " ", kind, escape(incarnation.worker().value()), "" + incarnation.startTimeMillis());
   }
 
-  private static WorkerIncarnation life(String[] fields) {
+  private static WorkerIncarnation incarnation(String[] fields) {
     return new WorkerIncarnation(new WorkerId(unescape(fields[1])), Long.parseLong(fields[2]));
   }
 
@@ -142,18 +149,18 @@
    * this one during a rolling replacement, and a leader that fails at the start of each term would
    * let all jobs stand still.
    *
-   * @param hiding takes the lives that may never list some ends
+   * @param suppressed takes the lives that may never list some ends
    * @param acknowledged takes those to which ends were acknowledged
-   * @param held takes the lowest number that is held on each life with held ends
+   * @param deferred takes the lowest number that is held on each life with held ends
    * @return how many lines were skipped
    */
   long restore(
       String text,
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     List<String> lines = text.lines().toList();
-    return lines.stream().filter(line -> !read(line, hiding, acknowledged, held)).count();
+    return lines.stream().filter(line -> !read(line, suppressed, acknowledged, deferred)).count();
   }
 
   /** Returns the lives to which ends were acknowledged, by a text that {@link #write} returned. */
@@ -161,25 +168,25 @@
     return text.lines()
         .map(line -> line.split(" ", -1))
         .filter(fields -> fields[0].equals(ACKNOWLEDGED))
-        .map(LearnedText::life)
+        .map(LearnedText::incarnation)
         .collect(Collectors.toSet());
   }
 
   private boolean read(
       String line,
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     String[] fields = line.split(" ", -1);
     try {
-      if (fields[0].equals(HIDES) && fields.length == LIFE_FIELDS) {
-        return hiding.add(life(fields));
+      if (fields[0].equals(SUPPRESSED) && fields.length == INCARNATION_FIELDS) {
+        return suppressed.add(incarnation(fields));
       }
-      if (fields[0].equals(ACKNOWLEDGED) && fields.length == LIFE_FIELDS) {
-        return acknowledged.add(life(fields));
+      if (fields[0].equals(ACKNOWLEDGED) && fields.length == INCARNATION_FIELDS) {
+        return acknowledged.add(incarnation(fields));
       }
-      if (fields[0].equals(HELD) && fields.length == HELD_FIELDS) {
-        held.put(life(fields), Long.parseLong(fields[LIFE_FIELDS]));
+      if (fields[0].equals(DEFERRED) && fields.length == DEFERRED_FIELDS) {
+        deferred.put(incarnation(fields), Long.parseLong(fields[INCARNATION_FIELDS]));
         return true;
       }
       if (fields[0].equals(PAIR) && fields.length == PAIR_FIELDS) {
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -25,7 +25,7 @@
       return;
     }
     Job job = new Job(spec, term.now.mono(), term.ignoredStarts);
-    estimates.arrived(spec.queue(), urgency.work(spec));
+    estimates.recordArrival(spec.queue(), urgency.work(spec));
     open(job);
     term.logEvent("job.taken", spec.id(), describe(spec));
     if (cancelledUnseen.remove(spec.id())) {
--- a/core/src/main/java/org/cottontack/core/job/LruMap.java
+++ b/core/src/main/java/org/cottontack/core/job/LruMap.java
@@ -10,15 +10,15 @@
   @Serial private static final long serialVersionUID = 1L;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final int most;
+  private final int maxEntries;
 
-  LruMap(int most) {
-    super(most, LOAD_FACTOR, true);
-    this.most = most;
+  LruMap(int maxEntries) {
+    super(maxEntries, LOAD_FACTOR, true);
+    this.maxEntries = maxEntries;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxEntries;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
@@ -106,7 +106,7 @@
     toStore = term.acknowledgedLives();
     LearnedText.Written written = learned.write(hiding, toStore, held);
     stored = LearnedText.acknowledged(written.text());
-    noteCut("lives", written.livesCut());
+    noteCut("lives", written.incarnationsCut());
     noteCut("learned", written.learnedCut());
     return written.text();
   }
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -20,7 +20,7 @@
   private static final int MOST_FIELDS = FIELDS + CRASH_FIELDS + 1;
 
   /** Sign of a life's beginning where copies of a start may come; an earlier version skips it. */
-  private static final String COPIED = "+";
+  private static final String DUPLICATE_POSSIBLE = "+";
 
   private ProgressText() {}
 
@@ -36,7 +36,7 @@
       int blamed,
       Optional<WorkerIncarnation> worker,
       String checkpoint,
-      boolean copied) {
+      boolean duplicatePossible) {
 
     static Line of(Task task) {
       StepId step = task.name.step();
@@ -66,10 +66,12 @@
       if (fields.length < FIELDS || fields.length > MOST_FIELDS || fields[3].length() != 1) {
         throw new IllegalArgumentException("not a task's progress: " + text);
       }
-      boolean crashed = fields.length >= FIELDS + CRASH_FIELDS;
-      boolean stated = (fields.length - FIELDS) % CRASH_FIELDS == 1;
-      long born =
-          stated ? Long.parseLong(fields[fields.length - 1]) : WorkerIncarnation.UNKNOWN_START_TIME;
+      boolean hasCrashes = fields.length >= FIELDS + CRASH_FIELDS;
+      boolean hasStartTime = (fields.length - FIELDS) % CRASH_FIELDS == 1;
+      long startTimeMillis =
+          hasStartTime
+              ? Long.parseLong(fields[fields.length - 1])
+              : WorkerIncarnation.UNKNOWN_START_TIME;
       return new Line(
           Integer.parseInt(fields[0]),
           Integer.parseInt(fields[1]),
@@ -77,13 +79,13 @@
           Task.Phase.of(fields[3].charAt(0)),
           Integer.parseInt(fields[4]),
           Integer.parseInt(fields[5]),
-          crashed ? Integer.parseInt(fields[8]) : 0,
-          crashed ? Integer.parseInt(fields[9]) : 0,
+          hasCrashes ? Integer.parseInt(fields[8]) : 0,
+          hasCrashes ? Integer.parseInt(fields[9]) : 0,
           Optional.of(fields[6])
               .filter(name -> !name.equals(NO_WORKER))
-              .map(name -> new WorkerIncarnation(new WorkerId(name), born)),
+              .map(name -> new WorkerIncarnation(new WorkerId(name), startTimeMillis)),
           URLDecoder.decode(fields[7], StandardCharsets.UTF_8),
-          stated && fields[fields.length - 1].startsWith(COPIED));
+          hasStartTime && fields[fields.length - 1].startsWith(DUPLICATE_POSSIBLE));
     }
 
     @Override
@@ -97,17 +99,17 @@
               String.valueOf(phase.code()),
               Integer.toString(run),
               Integer.toString(failures),
-              worker.map(life -> life.worker().value()).orElse(NO_WORKER),
+              worker.map(incarnation -> incarnation.worker().value()).orElse(NO_WORKER),
               URLEncoder.encode(checkpoint, StandardCharsets.UTF_8));
       // An earlier version reads no longer lines than it writes, and leaves such a job alone.
-      String counted = crashes > 0 ? line + " " + crashes + " " + blamed : line;
-      long born =
+      String withCrashes = crashes > 0 ? line + " " + crashes + " " + blamed : line;
+      long startTimeMillis =
           worker
               .map(WorkerIncarnation::startTimeMillis)
               .orElse(WorkerIncarnation.UNKNOWN_START_TIME);
-      return born == WorkerIncarnation.UNKNOWN_START_TIME
-          ? counted
-          : counted + " " + (copied ? COPIED : "") + born;
+      return startTimeMillis == WorkerIncarnation.UNKNOWN_START_TIME
+          ? withCrashes
+          : withCrashes + " " + (duplicatePossible ? DUPLICATE_POSSIBLE : "") + startTimeMillis;
     }
   }
 
@@ -169,7 +171,7 @@
     task.blamed = line.blamed();
     task.worker = line.worker().orElse(null);
     task.checkpoint = line.checkpoint();
-    task.duplicateStartPossible = line.copied();
+    task.duplicateStartPossible = line.duplicatePossible();
     task.order = Task.Order.CONFIRMED;
     task.pace = task.spec.is(StepSpec.Trait.FILLS) ? Task.INHERITED_PACE : Task.FULL_PACE;
   }
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -109,7 +109,7 @@
   private double score(Job job, long objective, long end) {
     JobQueue queue = job.spec.queue();
     double left = Math.max(0, objective - end) / (double) Math.max(1, objective);
-    double relative = estimates.relative(queue, work(job.spec));
+    double relative = estimates.relativeWork(queue, work(job.spec));
     double worth = Math.min(MOST_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * relative);
     double work = Math.max(LEAST_WORK, remainingWork(job));
     return worth * Chance.of(end, objective).share / (URGENCY_OFFSET + left) / work;
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -138,7 +138,7 @@
    */
   private void relocate(Worker worker) {
     pacing
-        .stuck(worker, term.now.mono())
+        .runToMove(worker, term.now.mono())
         .ifPresent(
             task -> {
               term.logEvent("run.moved", task.key(), worker.info.id() + " pace=" + task.pace);
--- a/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
@@ -148,17 +148,18 @@
       Worker worker,
       boolean near,
       boolean fresh) {
-    if (crowding.alarmed() || crowding.leftover() < LEAST_LEFTOVER * task.spec.need().cpuMillis()) {
+    if (crowding.overBound()
+        || crowding.leftoverCpu() < LEAST_LEFTOVER * task.spec.need().cpuMillis()) {
       return Optional.empty();
     }
-    double strain = crowding.strainJoined(worker, task, interference);
+    double strain = crowding.headroomUseWith(worker, task, interference);
     if (strain > MOST_STRAIN && !anywhere(task.job, queue)) {
       return Optional.empty();
     }
     long steps = Math.round(strain / STRAIN_STEP);
     long suits = -TOLERANCE_STEPS * steps - Math.round(TOLERANCE_STEPS * crowding.tolerance());
     return Optional.of(
-        new Candidate(worker, keeps(worker), near, fresh, suits, crowding.leftover()));
+        new Candidate(worker, keeps(worker), near, fresh, suits, crowding.leftoverCpu()));
   }
 
   private static boolean keeps(Worker worker) {
--- a/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
@@ -22,7 +22,7 @@
     return TestStep.tasks(1).estimate(estimateMillis).of();
   }
 
-  private static DurationEstimates taught(double spread) {
+  private static DurationEstimates trained(double spread) {
     DurationEstimates estimates = new DurationEstimates();
     Random random = new Random(7);
     IntStream.range(0, 400)
@@ -56,9 +56,9 @@
     }
 
     @Test(dataProvider = "declared")
-    public void countsDeclaredTimesAsMuchAsTheyHaveTold(
+    public void weighsDeclaredTimesByTheirPastAccuracy(
         double spread, long declared, long least, long most) {
-      long millis = taught(spread).millis(QUEUE, step(declared));
+      long millis = trained(spread).millis(QUEUE, step(declared));
       assertTrue(millis >= least && millis <= most, "estimated " + millis);
     }
   }
@@ -72,7 +72,7 @@
      */
     @Test
     public void survivesTakeover() {
-      LearnedText old = new LearnedText(new LearnedInterference(), taught(0.9));
+      LearnedText old = new LearnedText(new LearnedInterference(), trained(0.9));
       DurationEstimates estimates = new DurationEstimates();
       new LearnedText(new LearnedInterference(), estimates)
           .restore(
@@ -80,7 +80,7 @@
               new HashSet<>(),
               new HashSet<>(),
               new HashMap<>());
-      long before = taught(0.9).millis(QUEUE, step(20_000));
+      long before = trained(0.9).millis(QUEUE, step(20_000));
       assertEquals((double) estimates.millis(QUEUE, step(20_000)), (double) before, 30.0);
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -34,17 +34,17 @@
     return TestWorker.serving("s", "web");
   }
 
-  private static Task filling(String image) {
+  private static Task bestEffort(String image) {
     return TestWorker.filling("f" + image, image);
   }
 
-  private static double joined(Interference interference, Worker worker, String image) {
-    ContentionSnapshot crowding = worker.contention(interference, 10_000);
-    return crowding.strainJoined(worker, filling(image), interference);
+  private static double headroomUseWith(Interference interference, Worker worker, String image) {
+    ContentionSnapshot snapshot = worker.contention(interference, 10_000);
+    return snapshot.headroomUseWith(worker, bestEffort(image), interference);
   }
 
   /** Returns the headroom lost by a service at rest whose tail's logarithm grows by a value. */
-  private static double lost(double harm) {
+  private static double lostHeadroom(double harm) {
     return (1 - Math.exp(-harm)) / QUIET_SHARE;
   }
 
@@ -65,11 +65,11 @@
      * The blame moves to the right one, though nothing new is heard of that.
      */
     @Test
-    public void blamesTheRightOne() {
+    public void attributesHarmToTheHarmfulImage() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task harmful = filling("harmful");
-      Task harmless = filling("harmless");
+      Task harmful = bestEffort("harmful");
+      Task harmless = bestEffort("harmless");
       Worker both = worker(serving(), harmful, harmless);
       Worker one = worker(serving(), harmless);
       for (int i = 0; i < 20; i++) {
@@ -80,18 +80,18 @@
       }
       Task serving = both.serving().findFirst().orElseThrow();
       double harm = interference.effect(both, serving, harmful);
-      assertTrue(harm > lost(0.75), "harmful: " + harm);
+      assertTrue(harm > lostHeadroom(0.75), "harmful: " + harm);
       double other = interference.effect(both, serving, harmless);
-      assertTrue(other < lost(0.2), "harmless: " + other);
+      assertTrue(other < lostHeadroom(0.2), "harmless: " + other);
     }
 
     @Test
-    public void oneUnknownImageMayTryAndTwoMayNot() {
+    public void admitsOneUnknownImageAtATime() {
       Interference interference = new LearnedInterference();
       Worker alone = worker(serving());
-      assertTrue(joined(interference, alone, "new") < 0.9);
-      Worker tried = worker(serving(), filling("first"));
-      assertTrue(joined(interference, tried, "second") > 0.9);
+      assertTrue(headroomUseWith(interference, alone, "new") < 0.9);
+      Worker tried = worker(serving(), bestEffort("first"));
+      assertTrue(headroomUseWith(interference, tried, "second") > 0.9);
     }
 
     /**
@@ -99,19 +99,19 @@
      * tolerant one to the images that need it.
      */
     @Test
-    public void keepsTolerantPlacesForThoseThatNeedThem() {
+    public void toleranceIsTheShareOfHarmlessImages() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task picky = task("p", "picky");
-      Worker intolerant = worker(picky, filling("harmful"));
-      Worker tolerant = worker(serving(), filling("harmful"), filling("harmless"));
-      Worker both = worker(picky, filling("harmless"));
+      Task intolerant = task("p", "picky");
+      Worker harmfulBeside = worker(intolerant, bestEffort("harmful"));
+      Worker bothBeside = worker(serving(), bestEffort("harmful"), bestEffort("harmless"));
+      Worker harmlessBeside = worker(intolerant, bestEffort("harmless"));
       for (int i = 0; i < 40; i++) {
-        report(interference, intolerant, 1.1, random);
-        report(interference, tolerant, 0, random);
-        report(interference, both, 0, random);
+        report(interference, harmfulBeside, 1.1, random);
+        report(interference, bothBeside, 0, random);
+        report(interference, harmlessBeside, 0, random);
       }
-      assertEquals(interference.tolerance(picky), 0.5);
+      assertEquals(interference.tolerance(intolerant), 0.5);
       assertEquals(interference.tolerance(serving()), 1.0);
     }
 
@@ -120,10 +120,10 @@
      * pairs together again, and users of the serving tasks would wait.
      */
     @Test
-    public void remembersOverTakeover() {
+    public void keepsWeightsOverTakeover() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task harmful = filling("harmful");
+      Task harmful = bestEffort("harmful");
       Worker worker = worker(serving(), harmful);
       for (int i = 0; i < 20; i++) {
         report(interference, worker, 1.1, random);
@@ -153,10 +153,10 @@
 
     /** Guards against weights that are mild at rest and harm services at the top of a swing. */
     @Test
-    public void fillsWithoutHarmWhileServicesSwing() {
+    public void runsBestEffortTasksWithoutHarmWhileServiceLoadSwings() {
       ReplayOutcome mean = Replay.mean(ReplayShape.usual().sharing(SERVICES, HARMFUL), SEEDS);
       assertTrue(mean.serving() > 0.9, mean.toString());
-      assertTrue(mean.fills() > 0.8, mean.toString());
+      assertTrue(mean.bestEffort() > 0.8, mean.toString());
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
@@ -23,20 +23,20 @@
   /** A tail with nothing harmful beside, in milliseconds. */
   private static final double QUIET_TAIL = 20;
 
-  private static Worker crowd(Task serving, Task filling) {
+  private static Worker sharedWorker(Task serving, Task bestEffort) {
     serving.load = 100;
-    filling.load = 4_000;
-    return TestWorker.with(serving, filling);
+    bestEffort.load = 4_000;
+    return TestWorker.with(serving, bestEffort);
   }
 
-  private static double effect(Interference interference, String serving, String filling) {
+  private static double effect(Interference interference, String serving, String bestEffort) {
     Task one = TestWorker.serving("s", serving);
-    Task other = TestWorker.filling("f", filling);
+    Task other = TestWorker.filling("f", bestEffort);
     return interference.effect(TestWorker.with(one, other), one, other);
   }
 
   /** Names and texts that nobody expects. */
-  public static class Hostile {
+  public static class UnexpectedTexts {
 
     /** Images as callers may name them. */
     @DataProvider
@@ -54,9 +54,10 @@
     @Test(dataProvider = "images")
     public void keepsAnyName(String image) {
       Interference interference = new LearnedInterference();
-      Worker crowd = crowd(TestWorker.serving("s", image), TestWorker.filling("f", image));
+      Worker sharedWorker =
+          sharedWorker(TestWorker.serving("s", image), TestWorker.filling("f", image));
       for (int i = 0; i < 20; i++) {
-        interference.learn(crowd, 500L * i);
+        interference.learn(sharedWorker, 500L * i);
       }
       DurationEstimates estimates = new DurationEstimates();
       estimates.learn(QUEUE, TestStep.tasks(1).of(), 900);
@@ -108,52 +109,53 @@
   }
 
   /** Lives of workers. */
-  public static class OfLives {
+  public static class Incarnations {
 
     /** Guards against a leader that takes lives sent acknowledgements for ones that hide ends. */
     @Test
-    public void keepsBothKindsApart() {
-      Set<WorkerIncarnation> hiding = Set.of(new WorkerIncarnation(new WorkerId("a b"), 5));
+    public void distinguishesSuppressedFromAcknowledged() {
+      Set<WorkerIncarnation> suppressed = Set.of(new WorkerIncarnation(new WorkerId("a b"), 5));
       Set<WorkerIncarnation> acknowledged = Set.of(new WorkerIncarnation(new WorkerId("c"), 6));
       LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
-      Set<WorkerIncarnation> nextHiding = new HashSet<>();
+      Set<WorkerIncarnation> nextSuppressed = new HashSet<>();
       Set<WorkerIncarnation> nextAcknowledged = new HashSet<>();
       text.restore(
-          text.write(hiding, acknowledged, Map.of()).text(),
-          nextHiding,
+          text.write(suppressed, acknowledged, Map.of()).text(),
+          nextSuppressed,
           nextAcknowledged,
           new HashMap<>());
-      assertEquals(nextHiding, hiding);
+      assertEquals(nextSuppressed, suppressed);
       assertEquals(nextAcknowledged, acknowledged);
     }
 
     /** Guards against held ends left out for lives that hide ends. */
     @Test
-    public void keepsHeldEndsWhereNotAllFit() {
-      Set<WorkerIncarnation> hiding =
+    public void keepsDeferredAcknowledgementsWhereNotAllFit() {
+      Set<WorkerIncarnation> suppressed =
           IntStream.range(0, 2_000)
               .mapToObj(i -> new WorkerIncarnation(new WorkerId("w" + i), 1_000_000 + i))
               .collect(Collectors.toSet());
-      Map<WorkerIncarnation, Long> held = Map.of(new WorkerIncarnation(new WorkerId("a"), 5), 17L);
+      Map<WorkerIncarnation, Long> deferred =
+          Map.of(new WorkerIncarnation(new WorkerId("a"), 5), 17L);
       LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
-      LearnedText.Written written = text.write(hiding, hiding, held);
-      assertTrue(written.livesCut() > 0);
+      LearnedText.Written written = text.write(suppressed, suppressed, deferred);
+      assertTrue(written.incarnationsCut() > 0);
       Map<WorkerIncarnation, Long> next = new HashMap<>();
       text.restore(written.text(), new HashSet<>(), new HashSet<>(), next);
-      assertEquals(next, held);
+      assertEquals(next, deferred);
     }
 
     /** Guards against held ends that the next leader does not know, or of another life. */
     @Test
-    public void keepsHeldEnds() {
-      Map<WorkerIncarnation, Long> held =
+    public void keepsDeferredAcknowledgements() {
+      Map<WorkerIncarnation, Long> deferred =
           Map.of(new WorkerIncarnation(new WorkerId("a b"), 5), 17L);
       LearnedText text = new LearnedText(new LearnedInterference(), new DurationEstimates());
       Map<WorkerIncarnation, Long> next = new HashMap<>();
       Set<WorkerIncarnation> others = new HashSet<>();
-      String written = text.write(Set.of(), Set.of(), held).text();
+      String written = text.write(Set.of(), Set.of(), deferred).text();
       assertEquals(text.restore(written, others, others, next), 0);
-      assertEquals(next, held);
+      assertEquals(next, deferred);
       assertEquals(others, Set.of());
     }
   }
@@ -171,7 +173,8 @@
       for (int i = 0; i < 600; i++) {
         String image = "image number " + i + " of a caller with long names";
         interference.learn(
-            crowd(TestWorker.serving("s", image.substring(i % 3)), TestWorker.filling("f", image)),
+            sharedWorker(
+                TestWorker.serving("s", image.substring(i % 3)), TestWorker.filling("f", image)),
             500L * i);
       }
       String text =
@@ -185,13 +188,14 @@
 
     /** What was heard of last is kept. */
     @Test
-    public void forgetsWhatWasNotHeardOfForLongest() {
+    public void forgetsImagesReportedLongestAgo() {
       Interference interference = new LearnedInterference();
-      Worker lasting = crowd(TestWorker.serving("s", "web"), TestWorker.filling("f", "batch"));
+      Worker recurring =
+          sharedWorker(TestWorker.serving("s", "web"), TestWorker.filling("f", "batch"));
       for (int i = 0; i < 600; i++) {
-        interference.learn(lasting, 500L * i);
+        interference.learn(recurring, 500L * i);
         Worker harmless =
-            crowd(TestWorker.serving("s", "web"), TestWorker.filling("f", "image" + i));
+            sharedWorker(TestWorker.serving("s", "web"), TestWorker.filling("f", "image" + i));
         harmless.serving().forEach(task -> task.load = QUIET_TAIL);
         interference.learn(harmless, 500L * i);
       }
--- a/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
@@ -69,22 +69,22 @@
 
     /** Guards against a leader that takes a restarted worker for the life a task was placed on. */
     @Test(dataProvider = "crashes")
-    public void keepsLifeOfWorker(int crashes) {
+    public void keepsIncarnationOfWorker(int crashes) {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
-      WorkerIncarnation life = new WorkerIncarnation(new WorkerId("w"), 1_700_000_000_123L);
-      task.place(life, 0);
+      WorkerIncarnation incarnation = new WorkerIncarnation(new WorkerId("w"), 1_700_000_000_123L);
+      task.place(incarnation, 0);
       task.crashes = crashes;
       Job next = job();
       ProgressText.restore(next, ProgressText.write(job));
       Task restored = next.tasks().findFirst().orElseThrow();
-      assertEquals(restored.worker, life);
+      assertEquals(restored.worker, incarnation);
       assertEquals(restored.crashes, crashes);
     }
 
     /** Guards against copies of a start that the next leader does not know of. */
     @Test(dataProvider = "crashes")
-    public void keepsThatCopiesMayCome(int crashes) {
+    public void keepsThatDuplicateStartsMayCome(int crashes) {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
       task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
@@ -100,7 +100,7 @@
 
     /** Guards against jobs that an earlier version leaves alone: it reads this as the number 5. */
     @Test
-    public void writesCopiesAsSignOfLife() {
+    public void marksPossibleDuplicatesBySignOfStartTime() {
       Job job = job();
       Task task = job.tasks().findFirst().orElseThrow();
       task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
@@ -139,7 +139,7 @@
     }
 
     @Test(dataProvider = "texts")
-    public void isSaidToBe(String text) {
+    public void isNotReadable(String text) {
       assertFalse(ProgressText.readable(text));
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/Replay.java
+++ b/core/src/test/java/org/cottontack/core/job/Replay.java
@@ -25,7 +25,7 @@
 
   static final long STEP_MILLIS = 10;
 
-  private static final long TRIP_MILLIS = 2;
+  private static final long ONE_WAY_DELAY_MILLIS = 2;
   private static final long SAVE_MILLIS = 12;
   private static final long SILENCE_MILLIS = 1_000;
   private static final long TICK_MILLIS = 100;
@@ -38,70 +38,70 @@
   /** Harm by tasks beside counts several times what absence does. */
   private static final double HARM_FACTOR = 4;
 
-  private record Due(long at, long order, Runnable what) {}
+  private record Due(long at, long sequence, Runnable action) {}
 
   private final ReplayLoad load;
   private final Map<WorkerId, ReplayWorker> workers = new HashMap<>();
-  private final Map<JobId, ReplayLoad.Arrival> known = new HashMap<>();
+  private final Map<JobId, ReplayLoad.Arrival> arrived = new HashMap<>();
   private final Map<JobId, Long> ended = new HashMap<>();
   private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::sequence));
   private final Map<JobId, String> stored = new TreeMap<>();
   private final Deque<JobEffect.SaveProgress> waitingSaves = new ArrayDeque<>();
   private final ReplayPolicy policy;
-  private final long first;
+  private final long startMillis;
   private JobScheduler leader;
   private String learned = "";
-  private boolean storeAway;
-  private long inheritedLapseMillis;
+  private boolean storeUnavailable;
+  private long inheritedLeaseEndMillis;
   private long now;
-  private long orders;
-  private long deciding;
+  private long scheduledCount;
+  private long decisionNanos;
   private boolean dirty;
   private long moves;
-  private long paces;
-  private double harmed;
-  private double served;
-  private double over;
+  private long paceOrders;
+  private double lostService;
+  private double owedService;
+  private double overBound;
   private long steps;
 
   Replay(ReplayShape shape, ReplayPolicy policy) {
     this.load = new ReplayLoad(shape, policy);
     this.policy = policy;
-    this.first = 100_000;
-    this.now = first - 8_000;
+    this.startMillis = 100_000;
+    this.now = startMillis - 8_000;
     load.workers.forEach(worker -> workers.put(worker.info.id(), worker));
-    lead();
+    startTerm();
     long length = shape.lengthMillis();
-    at(first + length / 4, this::loseWorkers);
-    load.arrivals.forEach(arrival -> at(first + arrival.millis(), () -> arrive(arrival)));
+    at(startMillis + length / 4, this::loseWorkers);
+    load.arrivals.forEach(arrival -> at(startMillis + arrival.millis(), () -> arrive(arrival)));
     ReplayShape.Troubles troubles = shape.troubles();
     if (troubles.takeoverMillis() > 0) {
       LongStream.iterate(
               troubles.takeoverMillis(), at -> at < length, at -> at + troubles.takeoverMillis())
-          .forEach(at -> at(first + at, this::leaderDies));
+          .forEach(at -> at(startMillis + at, this::loseLeader));
     }
-    if (troubles.storeMillis() > 0) {
-      at(first + length / 2, () -> storeAway = true);
-      at(first + length / 2 + troubles.storeMillis(), this::storeBack);
+    if (troubles.storeOutageMillis() > 0) {
+      at(startMillis + length / 2, () -> storeUnavailable = true);
+      at(startMillis + length / 2 + troubles.storeOutageMillis(), this::restoreStore);
     }
     tick();
   }
 
   /** Begins a term with what is stored. */
-  private void lead() {
+  private void startTerm() {
     leader =
         new JobScheduler(
             JobTiming.STANDARD,
             ReplayLoad.TABLE,
             moment(),
-            inheritedLapseMillis,
+            inheritedLeaseEndMillis,
             policy.interference(load));
     post(new JobEvent.LearnedRecovered(learned));
     load.workers.stream()
         .filter(worker -> workers.containsKey(worker.info.id()))
         .forEach(worker -> post(new JobEvent.WorkerSeen(worker.info)));
-    new TreeMap<>(known).values().forEach(arrival -> recover(arrival.job()));
+    new TreeMap<>(arrived).values().forEach(arrival -> recover(arrival.job()));
   }
 
   private void recover(JobSpec job) {
@@ -113,15 +113,15 @@
     }
   }
 
-  private void leaderDies() {
+  private void loseLeader() {
     leader = null;
     waitingSaves.clear();
-    inheritedLapseMillis = now + LeaderLease.GRANT_MILLIS;
-    after(LEADERLESS_MILLIS, this::lead);
+    inheritedLeaseEndMillis = now + LeaderLease.GRANT_MILLIS;
+    after(LEADERLESS_MILLIS, this::startTerm);
   }
 
-  private void storeBack() {
-    storeAway = false;
+  private void restoreStore() {
+    storeUnavailable = false;
     while (!waitingSaves.isEmpty()) {
       save(leader, waitingSaves.poll());
     }
@@ -138,25 +138,27 @@
         id -> post(new JobEvent.WorkerUnlisted(WorkerIncarnation.withUniqueIdentifier(id))));
   }
 
-  private void toWorker(WorkerIncarnation life, Consumer<ReplayWorker> order) {
-    after(TRIP_MILLIS, () -> Optional.ofNullable(workers.get(life.worker())).ifPresent(order));
+  private void sendToWorker(WorkerIncarnation incarnation, Consumer<ReplayWorker> order) {
+    after(
+        ONE_WAY_DELAY_MILLIS,
+        () -> Optional.ofNullable(workers.get(incarnation.worker())).ifPresent(order));
   }
 
   private Moment moment() {
     return new Moment(now, now);
   }
 
-  private void at(long millis, Runnable what) {
-    orders++;
-    due.add(new Due(millis, orders, what));
+  private void at(long millis, Runnable action) {
+    scheduledCount++;
+    due.add(new Due(millis, scheduledCount, action));
   }
 
-  private void after(long millis, Runnable what) {
-    at(now + millis, what);
+  private void after(long millis, Runnable action) {
+    at(now + millis, action);
   }
 
   private void arrive(ReplayLoad.Arrival arrival) {
-    known.put(arrival.job().id(), arrival);
+    arrived.put(arrival.job().id(), arrival);
     post(new JobEvent.JobArrived(arrival.job()));
   }
 
@@ -174,8 +176,8 @@
     if (to != null && to == leader) {
       long began = System.nanoTime();
       List<JobEffect> effects = to.handle(moment(), event);
-      deciding += System.nanoTime() - began;
-      effects.forEach(this::carryOut);
+      decisionNanos += System.nanoTime() - began;
+      effects.forEach(this::execute);
       dirty = true;
     }
   }
@@ -183,62 +185,62 @@
   private void decide() {
     long began = System.nanoTime();
     List<JobEffect> effects = leader.decide(moment());
-    deciding += System.nanoTime() - began;
-    effects.forEach(this::carryOut);
+    decisionNanos += System.nanoTime() - began;
+    effects.forEach(this::execute);
   }
 
   /** Returns the processor time of all decisions, in nanoseconds; differs from run to run. */
-  long decidingNanos() {
-    return deciding;
+  long decisionNanos() {
+    return decisionNanos;
   }
 
   /** Plays to the end of the load and five seconds more. */
   ReplayOutcome run() {
-    long end = first + load.shape.lengthMillis() + 5_000;
+    long end = startMillis + load.shape.lengthMillis() + 5_000;
     while (now < end) {
       now += STEP_MILLIS;
       workers.values().forEach(worker -> worker.advance(now));
       while (!due.isEmpty() && due.peek().at() <= now) {
-        due.poll().what().run();
+        due.poll().action().run();
       }
       if (dirty && leader != null) {
         dirty = false;
         decide();
       }
-      if (now > first) {
-        watch();
+      if (now > startMillis) {
+        measure();
       }
     }
     return outcome();
   }
 
-  private void carryOut(JobEffect effect) {
+  private void execute(JobEffect effect) {
     JobScheduler from = leader;
     if (effect instanceof JobEffect.SaveProgress save) {
       save(from, save);
     } else if (effect instanceof JobEffect.StartRun start) {
-      after(TRIP_MILLIS, () -> start(from, start));
+      after(ONE_WAY_DELAY_MILLIS, () -> start(from, start));
     } else if (effect instanceof JobEffect.StopRun stop) {
       moves++;
-      toWorker(stop.target().incarnation(), worker -> worker.stop(stop.run()));
+      sendToWorker(stop.target().incarnation(), worker -> worker.stop(stop.run()));
       after(
-          2 * TRIP_MILLIS,
+          2 * ONE_WAY_DELAY_MILLIS,
           () -> post(from, new JobEvent.StopEnded(stop.target().incarnation(), stop.run(), true)));
     } else if (effect instanceof JobEffect.PaceRun pace) {
-      paces++;
+      paceOrders++;
       after(
           100,
           () ->
-              toWorker(
+              sendToWorker(
                   pace.target().incarnation(), worker -> worker.pace(pace.run(), pace.percent())));
-    } else if (effect instanceof JobEffect.LookAtWorker look) {
+    } else if (effect instanceof JobEffect.LookAtWorker poll) {
       long sent = now;
-      after(TRIP_MILLIS, () -> look(from, look, sent, now + look.waitMillis()));
+      after(ONE_WAY_DELAY_MILLIS, () -> poll(from, poll, sent, now + poll.waitMillis()));
     }
   }
 
   private void save(JobScheduler from, JobEffect.SaveProgress save) {
-    if (storeAway) {
+    if (storeUnavailable) {
       waitingSaves.add(save);
     } else {
       after(SAVE_MILLIS, () -> saved(from, save));
@@ -259,7 +261,7 @@
 
   private void start(JobScheduler from, JobEffect.StartRun order) {
     TaskName task = order.run().task();
-    ReplayLoad.Arrival arrival = known.get(task.job());
+    ReplayLoad.Arrival arrival = arrived.get(task.job());
     StepSpec spec = arrival.job().steps().get(task.step().step());
     double work = arrival.workMillis().get(task.step().step())[task.index()];
     double done = order.checkpoint().isEmpty() ? 0 : Double.parseDouble(order.checkpoint());
@@ -276,7 +278,7 @@
             done,
             now));
     after(
-        TRIP_MILLIS,
+        ONE_WAY_DELAY_MILLIS,
         () ->
             post(
                 from,
@@ -284,66 +286,71 @@
                     order.target().incarnation(), order.run(), StartResult.STARTED)));
   }
 
-  private void look(JobScheduler from, JobEffect.LookAtWorker look, long sent, long until) {
-    ReplayWorker worker = workers.get(look.target().incarnation().worker());
+  private void poll(JobScheduler from, JobEffect.LookAtWorker poll, long sent, long until) {
+    ReplayWorker worker = workers.get(poll.target().incarnation().worker());
     if (worker == null) {
       after(
-          SILENCE_MILLIS, () -> post(from, new JobEvent.WorkerSilent(look.target().incarnation())));
+          SILENCE_MILLIS, () -> post(from, new JobEvent.WorkerSilent(poll.target().incarnation())));
       return;
     }
-    WorkerReport report = worker.report(look.acknowledged(), now);
+    WorkerReport report = worker.report(poll.acknowledged(), now);
     if (report.completions().isEmpty() && now < until) {
-      after(STEP_MILLIS, () -> look(from, look, sent, until));
+      after(STEP_MILLIS, () -> poll(from, poll, sent, until));
       return;
     }
     after(
-        TRIP_MILLIS,
-        () -> post(from, new JobEvent.WorkerReported(look.target().incarnation(), sent, report)));
+        ONE_WAY_DELAY_MILLIS,
+        () -> post(from, new JobEvent.WorkerReported(poll.target().incarnation(), sent, report)));
   }
 
-  private void watch() {
+  private void measure() {
     steps++;
     int owed =
-        known.values().stream()
+        arrived.values().stream()
             .filter(arrival -> arrival.job().isLongRunning())
             .mapToInt(arrival -> arrival.job().steps().get(0).count())
             .sum();
-    served += owed;
-    harmed += owed;
+    owedService += owed;
+    lostService += owed;
     for (ReplayWorker worker : workers.values()) {
       for (ReplayWorker.Running run : worker.running.values()) {
         if (run.spec.serves()) {
-          over += run.over ? 1 : 0;
-          boolean beside =
+          overBound += run.over ? 1 : 0;
+          boolean bestEffortBeside =
               worker.running.values().stream().anyMatch(r -> r.spec.is(StepSpec.Trait.FILLS));
-          harmed += !run.atWork(now) ? 0 : run.over && beside ? HARM_FACTOR - 1 : run.over ? 0 : -1;
+          lostService +=
+              !run.atWork(now)
+                  ? 0
+                  : run.over && bestEffortBeside ? HARM_FACTOR - 1 : run.over ? 0 : -1;
         }
       }
     }
   }
 
   private ReplayOutcome outcome() {
-    List<ReplayLoad.Arrival> shorts = of(ReplayLoad.SHORT);
-    List<ReplayLoad.Arrival> fills = of(ReplayLoad.FILL);
+    List<ReplayLoad.Arrival> shortJobs = of(ReplayLoad.SHORT);
+    List<ReplayLoad.Arrival> bestEffort = of(ReplayLoad.BEST_EFFORT);
     double work =
-        Stream.concat(shorts.stream(), fills.stream()).mapToDouble(ReplayLoad.Arrival::work).sum();
+        Stream.concat(shortJobs.stream(), bestEffort.stream())
+            .mapToDouble(ReplayLoad.Arrival::work)
+            .sum();
     return new ReplayOutcome(
-        1 - harmed / served,
-        earned(fills),
-        earned(largest(fills)),
-        earned(shorts),
-        earned(largest(shorts)),
-        unserved(Stream.concat(shorts.stream(), fills.stream()).toList()),
-        over / steps,
+        1 - lostService / owedService,
+        earnedValue(bestEffort),
+        earnedValue(largest(bestEffort)),
+        earnedValue(shortJobs),
+        earnedValue(largest(shortJobs)),
+        unserved(Stream.concat(shortJobs.stream(), bestEffort.stream()).toList()),
+        overBound / steps,
         moves,
-        paces,
+        paceOrders,
         load.workers.stream().mapToDouble(worker -> worker.wasted).sum() / work);
   }
 
   /** Returns the share of jobs that never ended though three times their objective had passed. */
   private double unserved(List<ReplayLoad.Arrival> jobs) {
     return jobs.stream()
-        .filter(arrival -> now - first - arrival.millis() > 3 * arrival.objectiveMillis())
+        .filter(arrival -> now - startMillis - arrival.millis() > 3 * arrival.objectiveMillis())
         .mapToInt(arrival -> ended.containsKey(arrival.job().id()) ? 0 : 1)
         .average()
         .orElse(0);
@@ -357,18 +364,18 @@
   }
 
   private List<ReplayLoad.Arrival> of(JobQueue queue) {
-    return new ArrayList<>(known.values())
+    return new ArrayList<>(arrived.values())
         .stream().filter(arrival -> arrival.job().queue().equals(queue)).toList();
   }
 
-  private double earned(List<ReplayLoad.Arrival> jobs) {
+  private double earnedValue(List<ReplayLoad.Arrival> jobs) {
     double mean = jobs.stream().mapToDouble(ReplayLoad.Arrival::work).average().orElse(1);
     double owed = 0;
     double earned = 0;
     for (ReplayLoad.Arrival arrival : jobs) {
       double value = 0.3 + 0.7 * arrival.work() / mean;
       double objective = arrival.objectiveMillis();
-      long began = first + arrival.millis();
+      long began = startMillis + arrival.millis();
       boolean open = !ended.containsKey(arrival.job().id());
       double took = ended.getOrDefault(arrival.job().id(), now) - began;
       if (open && took < objective) {
--- a/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
@@ -18,18 +18,18 @@
 
   static final JobQueue SHORT =
       new JobQueue("short", "host", "/short/", "pool", 0, 2, 1.5, 250, false);
-  static final JobQueue FILL =
+  static final JobQueue BEST_EFFORT =
       new JobQueue("fill", "host", "/fill/", "pool", 2, 4, 2.0, 1_000, false);
-  static final JobQueue SERVE =
+  static final JobQueue SERVING =
       new JobQueue("serve", "host", "/serve/", "pool", 0, 4, 2.2, 2_500, false);
-  static final JobTable TABLE = new JobTable(1, List.of(SHORT, FILL, SERVE), List.of());
+  static final JobTable TABLE = new JobTable(1, List.of(SHORT, BEST_EFFORT, SERVING), List.of());
 
   private static final int SERVING_IMAGES = 5;
-  private static final int FILLING_IMAGES = 9;
+  private static final int BEST_EFFORT_IMAGES = 9;
   private static final double TARGET_MILLIS = 50;
 
   /** Speed of slow workers. */
-  private static final double SLOW = 1 / 3.0;
+  private static final double SLOW_SPEED = 1 / 3.0;
 
   /** Share of the phases of a task that fills in which it disturbs its neighbours much. */
   static final double HEAVY_PHASES = 0.6;
@@ -84,7 +84,7 @@
   private final Map<String, Double> weights = new HashMap<>();
   private final Map<JobId, Service> services = new HashMap<>();
   private final Random random;
-  private final boolean declaresTruly;
+  private final boolean declaresTrueDurations;
 
   ReplayLoad(ReplayShape shape) {
     this(shape, ReplayPolicy.STANDING);
@@ -93,14 +93,14 @@
   ReplayLoad(ReplayShape shape, ReplayPolicy policy) {
     this.shape = shape;
     this.random = new Random(shape.seed());
-    this.declaresTruly = policy.declaresTruly();
+    this.declaresTrueDurations = policy.declaresTrueDurations();
     for (int i = 0; i < shape.workers(); i++) {
       workers.add(new ReplayWorker("w" + i, i % 3 == 2 ? 48 : 32, "dc" + i % 3, this));
     }
     drawWeights();
     drawServices();
     drawJobs(SHORT, shape.shorts());
-    drawJobs(FILL, shape.fills());
+    drawJobs(BEST_EFFORT, shape.bestEffort());
     drawTroubles();
     arrivals.sort(Comparator.comparingLong(Arrival::millis));
   }
@@ -110,16 +110,16 @@
   }
 
   /** Returns by how much an image beside a serving one lengthens its responses, for each share. */
-  double weight(String serving, String filling) {
-    return weights.getOrDefault(serving + "/" + filling, 0.0);
+  double weight(String serving, String bestEffort) {
+    return weights.getOrDefault(serving + "/" + bestEffort, 0.0);
   }
 
   /** Returns the share of the filling images that weigh less beside a serving one. */
   double tolerance(String serving, double weight) {
-    return IntStream.range(0, FILLING_IMAGES)
-            .filter(filling -> weight(serving, "f" + filling) < weight)
+    return IntStream.range(0, BEST_EFFORT_IMAGES)
+            .filter(bestEffort -> weight(serving, "f" + bestEffort) < weight)
             .count()
-        / (double) FILLING_IMAGES;
+        / (double) BEST_EFFORT_IMAGES;
   }
 
   Service service(JobId job) {
@@ -129,10 +129,10 @@
   private void drawWeights() {
     for (int serving = 0; serving < SERVING_IMAGES; serving++) {
       double share = shape.harmful() * (0.2 + 1.6 * random.nextDouble());
-      for (int filling = 0; filling < FILLING_IMAGES; filling++) {
+      for (int bestEffort = 0; bestEffort < BEST_EFFORT_IMAGES; bestEffort++) {
         boolean heavy = random.nextDouble() < share;
         double weight = heavy ? 1.2 + 3 * random.nextDouble() : 0.3 * random.nextDouble();
-        weights.put("s" + serving + "/f" + filling, weight);
+        weights.put("s" + serving + "/f" + bestEffort, weight);
       }
     }
   }
@@ -161,7 +161,7 @@
       boolean late = placed > 0.9 * shape.reserved() * cores;
       long at = late ? random.nextLong(shape.lengthMillis() / 2) : -6_000 + 20L * n;
       placed += count * cpu;
-      arrivals.add(new Arrival(at, job(id, SERVE, List.of(step)), List.of(new double[count])));
+      arrivals.add(new Arrival(at, job(id, SERVING, List.of(step)), List.of(new double[count])));
     }
   }
 
@@ -173,7 +173,7 @@
   private void drawTroubles() {
     int slow = (int) Math.round(shape.troubles().slow() * workers.size());
     int failing = (int) Math.round(shape.troubles().failing() * workers.size());
-    workers.stream().skip(workers.size() - slow).forEach(worker -> worker.speed = SLOW);
+    workers.stream().skip(workers.size() - slow).forEach(worker -> worker.speed = SLOW_SPEED);
     workers.stream()
         .skip(workers.size() - slow - failing)
         .limit(failing)
@@ -181,16 +181,17 @@
   }
 
   private void drawJobs(JobQueue queue, ReplayShape.Work work) {
-    boolean fills = queue.equals(FILL);
+    boolean bestEffort = queue.equals(BEST_EFFORT);
     double millis = 0;
     for (int n = 0; ; n++) {
-      boolean burst = fills && inBurst((long) millis);
+      boolean burst = bestEffort && inBurst((long) millis);
       double rate = burst ? shape.troubles().burst() * work.perSecond() : work.perSecond();
       millis += -Math.log(1 - random.nextDouble()) * 1_000 / rate;
       if (millis > shape.lengthMillis()) {
         return;
       }
-      arrivals.add(fills ? fill((long) millis, n, work) : shortJob((long) millis, n, work));
+      arrivals.add(
+          bestEffort ? bestEffortJob((long) millis, n, work) : shortJob((long) millis, n, work));
     }
   }
 
@@ -203,10 +204,11 @@
     return arrival(millis, new JobId("short" + n), SHORT, steps, work, new Spreads(0.8, 0.45), "");
   }
 
-  private Arrival fill(long millis, int n, ReplayShape.Work work) {
+  private Arrival bestEffortJob(long millis, int n, ReplayShape.Work work) {
     int steps = (int) Math.max(1, Math.round(spread(2, 0.4, 5)));
-    String image = "f" + random.nextInt(FILLING_IMAGES);
-    return arrival(millis, new JobId("fill" + n), FILL, steps, work, new Spreads(0.6, 0.3), image);
+    String image = "f" + random.nextInt(BEST_EFFORT_IMAGES);
+    return arrival(
+        millis, new JobId("fill" + n), BEST_EFFORT, steps, work, new Spreads(0.6, 0.3), image);
   }
 
   /** Spreads of a step's width and of what its tasks ask for, as deviations of logarithms. */
@@ -229,27 +231,30 @@
       long cpu =
           Math.round(spread(kind.cpuMillis(), spreads.cpu(), 3 * kind.cpuMillis()) / 50) * 50;
       double declared = usual * Math.exp(0.2 * random.nextGaussian());
-      final boolean keeps = random.nextDouble() < 0.85;
+      final boolean hasCheckpoints = random.nextDouble() < 0.85;
       double[] takes =
           random.doubles(count).map(any -> usual * Math.exp(0.3 * random.nextGaussian())).toArray();
       double longest = Arrays.stream(takes).max().orElse(usual);
       TestStep built =
           TestStep.tasks(count)
               .cpu(cpu)
-              .estimate(Math.round(declaresTruly ? longest : declared))
+              .estimate(Math.round(declaresTrueDurations ? longest : declared))
               .after(step == 0 ? List.of() : List.of(step - 1))
               .image(image);
-      specs.add(image.isEmpty() ? built.of() : keeps ? keeping(built) : losing(built));
+      specs.add(
+          image.isEmpty()
+              ? built.of()
+              : hasCheckpoints ? withCheckpoints(built) : withoutCheckpoints(built));
       work.add(takes);
     }
     return new Arrival(at, job(id, queue, specs), work);
   }
 
-  private static StepSpec keeping(TestStep step) {
+  private static StepSpec withCheckpoints(TestStep step) {
     return step.of(StepSpec.Trait.FILLS, StepSpec.Trait.CHECKPOINTS);
   }
 
-  private static StepSpec losing(TestStep step) {
+  private static StepSpec withoutCheckpoints(TestStep step) {
     return step.of(StepSpec.Trait.FILLS);
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/ReplayOutcome.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayOutcome.java
@@ -8,10 +8,10 @@
  * What came of a replay, as shares of what could be had.
  *
  * @param serving of the time that services asked for, harm by what fills counted four times
- * @param fills of the value of jobs that fill
- * @param largestFills of the value of the largest tenth of these
+ * @param bestEffort of the value of jobs that fill
+ * @param largestBestEffort of the value of the largest tenth of these
  * @param shorts of the value of jobs of short tasks
- * @param largest of the value of the largest tenth of these
+ * @param largestShorts of the value of the largest tenth of these
  * @param unserved share of all jobs that end that never did
  * @param over serving tasks over their bound on average
  * @param moves runs that were stopped
@@ -20,10 +20,10 @@
  */
 record ReplayOutcome(
     double serving,
-    double fills,
-    double largestFills,
+    double bestEffort,
+    double largestBestEffort,
     double shorts,
-    double largest,
+    double largestShorts,
     double unserved,
     double over,
     double moves,
@@ -63,10 +63,10 @@
       List.of(
           new Figure("worth", ReplayOutcome::worth),
           new Figure("serving", ReplayOutcome::serving),
-          new Figure("fills", ReplayOutcome::fills),
-          new Figure("largest", ReplayOutcome::largestFills),
+          new Figure("fills", ReplayOutcome::bestEffort),
+          new Figure("largest", ReplayOutcome::largestBestEffort),
           new Figure("shorts", ReplayOutcome::shorts),
-          new Figure("largest", ReplayOutcome::largest),
+          new Figure("largest", ReplayOutcome::largestShorts),
           new Figure("unserved", ReplayOutcome::unserved),
           new Figure("over", ReplayOutcome::over),
           new Figure("moves", ReplayOutcome::moves),
@@ -82,10 +82,10 @@
   static ReplayOutcome mean(List<ReplayOutcome> all) {
     return new ReplayOutcome(
         average(all, ReplayOutcome::serving),
-        average(all, ReplayOutcome::fills),
-        average(all, ReplayOutcome::largestFills),
+        average(all, ReplayOutcome::bestEffort),
+        average(all, ReplayOutcome::largestBestEffort),
         average(all, ReplayOutcome::shorts),
-        average(all, ReplayOutcome::largest),
+        average(all, ReplayOutcome::largestShorts),
         average(all, ReplayOutcome::unserved),
         average(all, ReplayOutcome::over),
         average(all, ReplayOutcome::moves),
@@ -99,7 +99,7 @@
 
   /** Returns the whole as one figure. */
   double worth() {
-    return WEIGHTS[0] * serving + WEIGHTS[1] * fills + WEIGHTS[2] * shorts;
+    return WEIGHTS[0] * serving + WEIGHTS[1] * bestEffort + WEIGHTS[2] * shorts;
   }
 
   @Override
@@ -109,10 +109,10 @@
         "serving %.3f fills %.3f %.3f shorts %.3f %.3f unserved %.4f over %.1f moves %.0f"
             + " paces %.0f wasted %.3f",
         serving,
-        fills,
-        largestFills,
+        bestEffort,
+        largestBestEffort,
         shorts,
-        largest,
+        largestShorts,
         unserved,
         over,
         moves,
--- a/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
@@ -18,7 +18,7 @@
   /** Knows how long each task takes, in place of rough estimates. */
   KNOWN_DURATIONS {
     @Override
-    boolean declaresTruly() {
+    boolean declaresTrueDurations() {
       return true;
     }
   },
@@ -31,7 +31,7 @@
     }
 
     @Override
-    boolean declaresTruly() {
+    boolean declaresTrueDurations() {
       return true;
     }
   },
@@ -58,7 +58,7 @@
   }
 
   /** Returns whether callers declare the true durations. */
-  boolean declaresTruly() {
+  boolean declaresTrueDurations() {
     return false;
   }
 
@@ -81,18 +81,18 @@
     }
 
     @Override
-    public double effect(Worker worker, Task serving, Task filling) {
-      double weight = load.weight(serving.spec.image(), filling.spec.image());
-      return MOST_HEADROOM * weight * worker.share((double) filling.spec.need().cpuMillis());
+    public double effect(Worker worker, Task serving, Task bestEffort) {
+      double weight = load.weight(serving.spec.image(), bestEffort.spec.image());
+      return MOST_HEADROOM * weight * worker.share((double) bestEffort.spec.need().cpuMillis());
     }
 
     @Override
-    public boolean unknown(Task serving, Task filling) {
+    public boolean unknown(Task serving, Task bestEffort) {
       return false;
     }
 
     @Override
-    public double roomFor(Task serving, long millis) {
+    public double availableHeadroom(Task serving, long millis) {
       double used = load.service(serving.job.spec.id()).load(millis);
       return MOST_HEADROOM * (1 - used) - 1;
     }
@@ -107,7 +107,7 @@
   }
 
   /** Believes the same of all pairs at all times. */
-  private record Fixed(double effect, double room) implements Interference {
+  private record Fixed(double effect, double headroom) implements Interference {
 
     @Override
     public void learn(Worker worker, long nowMillis) {}
@@ -118,18 +118,18 @@
     }
 
     @Override
-    public double effect(Worker worker, Task serving, Task filling) {
+    public double effect(Worker worker, Task serving, Task bestEffort) {
       return effect;
     }
 
     @Override
-    public boolean unknown(Task serving, Task filling) {
+    public boolean unknown(Task serving, Task bestEffort) {
       return false;
     }
 
     @Override
-    public double roomFor(Task serving, long millis) {
-      return room;
+    public double availableHeadroom(Task serving, long millis) {
+      return headroom;
     }
 
     @Override
--- a/core/src/test/java/org/cottontack/core/job/ReplayShape.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayShape.java
@@ -12,7 +12,7 @@
  * @param used share of its reservation that a service uses on average
  * @param harmful share of pairs of images that do harm
  * @param shorts jobs of short tasks
- * @param fills jobs of tasks that fill
+ * @param bestEffort jobs of tasks that fill
  * @param troubles what goes wrong
  * @param lengthMillis how long jobs come
  */
@@ -24,7 +24,7 @@
     double used,
     double harmful,
     Work shorts,
-    Work fills,
+    Work bestEffort,
     Troubles troubles,
     long lengthMillis) {
 
@@ -52,7 +52,7 @@
    * @param slow share of the workers that run everything at a third of the speed
    * @param failing share of the workers that fail all that they start
    * @param takeoverMillis time between two changes of leaders; 0 for none
-   * @param storeMillis for how long the store is away after half of the time
+   * @param storeOutageMillis for how long the store is away after half of the time
    */
   record Troubles(
       double burst,
@@ -60,28 +60,29 @@
       double slow,
       double failing,
       long takeoverMillis,
-      long storeMillis) {
+      long storeOutageMillis) {
 
     static final Troubles FEW = new Troubles(1.4, 0, 0, 0, 0, 0);
     static final Troubles MANY = new Troubles(2.0, 3, 0.06, 0.04, 9_000, 1_500);
 
     Troubles bursting(double factor) {
-      return new Troubles(factor, lostWorkers, slow, failing, takeoverMillis, storeMillis);
+      return new Troubles(factor, lostWorkers, slow, failing, takeoverMillis, storeOutageMillis);
     }
 
     Troubles losing(int workers) {
-      return new Troubles(burst, workers, slow, failing, takeoverMillis, storeMillis);
+      return new Troubles(burst, workers, slow, failing, takeoverMillis, storeOutageMillis);
     }
 
     Troubles unsound(double slowShare, double failingShare) {
-      return new Troubles(burst, lostWorkers, slowShare, failingShare, takeoverMillis, storeMillis);
+      return new Troubles(
+          burst, lostWorkers, slowShare, failingShare, takeoverMillis, storeOutageMillis);
     }
 
     Troubles takingOver(long millis) {
-      return new Troubles(burst, lostWorkers, slow, failing, millis, storeMillis);
+      return new Troubles(burst, lostWorkers, slow, failing, millis, storeOutageMillis);
     }
 
-    Troubles storeAway(long millis) {
+    Troubles storeOutage(long millis) {
       return new Troubles(burst, lostWorkers, slow, failing, takeoverMillis, millis);
     }
   }
@@ -127,7 +128,7 @@
         .named("overloaded")
         .sharing(0.8, 0.95)
         .using(0.5)
-        .fillsTimes(1.6)
+        .bestEffortTimes(1.6)
         .with(Troubles.FEW.bursting(2));
   }
 
@@ -169,7 +170,7 @@
         usual(),
         usual().named("usual, trouble").with(Troubles.MANY),
         wide(),
-        wide().named("wide, half").fillsTimes(0.5),
+        wide().named("wide, half").bestEffortTimes(0.5),
         wide().named("wide, burst").with(few.bursting(2.6)),
         wide().named("wide, trouble").with(Troubles.MANY),
         harmful,
@@ -178,7 +179,7 @@
         harmful.named("harmful, slow").with(few.unsound(0.06, 0)),
         harmful.named("harmful, failing").with(few.unsound(0, 0.04)),
         harmful.named("harmful, leaders").with(few.takingOver(9_000)),
-        harmful.named("harmful, store").with(few.storeAway(1_500)),
+        harmful.named("harmful, store").with(few.storeOutage(1_500)),
         harmful.named("harmful, trouble").with(Troubles.MANY),
         overloaded(),
         large(),
@@ -187,17 +188,17 @@
 
   ReplayShape using(double share) {
     return new ReplayShape(
-        name, seed, workers, reserved, share, harmful, shorts, fills, troubles, lengthMillis);
+        name, seed, workers, reserved, share, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   ReplayShape named(String other) {
     return new ReplayShape(
-        other, seed, workers, reserved, used, harmful, shorts, fills, troubles, lengthMillis);
+        other, seed, workers, reserved, used, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   ReplayShape seeded(long other) {
     return new ReplayShape(
-        name, other, workers, reserved, used, harmful, shorts, fills, troubles, lengthMillis);
+        name, other, workers, reserved, used, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   /** Returns the same with other shares of reserved processors and of harmful pairs. */
@@ -210,17 +211,17 @@
         used,
         harmfulShare,
         shorts,
-        fills,
+        bestEffort,
         troubles,
         lengthMillis);
   }
 
   ReplayShape with(Troubles other) {
     return new ReplayShape(
-        name, seed, workers, reserved, used, harmful, shorts, fills, other, lengthMillis);
+        name, seed, workers, reserved, used, harmful, shorts, bestEffort, other, lengthMillis);
   }
 
-  ReplayShape fillsTimes(double factor) {
+  ReplayShape bestEffortTimes(double factor) {
     return new ReplayShape(
         name,
         seed,
@@ -229,7 +230,7 @@
         used,
         harmful,
         shorts,
-        fills.times(factor),
+        bestEffort.times(factor),
         troubles,
         lengthMillis);
   }
@@ -245,7 +246,7 @@
         used,
         harmful,
         shorts.times(share),
-        fills.times(share),
+        bestEffort.times(share),
         troubles,
         millis);
   }
--- a/core/src/test/java/org/cottontack/core/job/ReplayTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayTest.java
@@ -57,7 +57,7 @@
   }
 
   /** Policies whose order is known. */
-  public static class Telling {
+  public static class KnownOrder {
 
     private static final int SEEDS = 2;
 
@@ -68,13 +68,13 @@
 
     /** Guards against a measure that cannot tell a good policy from a bad one. */
     @Test
-    public void knowsWhoHarmsServicesAndWhoFillsNothing() {
+    public void ranksKnownPolicies() {
       ReplayOutcome oracle = mean(ReplayPolicy.ORACLE);
       ReplayOutcome all = mean(ReplayPolicy.FILL_EVERYTHING);
       ReplayOutcome none = mean(ReplayPolicy.FILL_NOTHING);
       assertTrue(oracle.serving() > 0.95, oracle.toString());
       assertTrue(all.serving() < oracle.serving() - 0.2, all.toString());
-      assertTrue(none.fills() < oracle.fills() - 0.2, none.toString());
+      assertTrue(none.bestEffort() < oracle.bestEffort() - 0.2, none.toString());
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
@@ -24,7 +24,7 @@
   private static final double LONGEST_TAIL = 10_000;
 
   /** Standard deviation of the logarithm of a reported tail. */
-  private static final double ROUGHNESS = 0.12;
+  private static final double TAIL_NOISE = 0.12;
 
   private static final long FAILS_AFTER_MILLIS = 150;
   private static final long STARTUP_MILLIS = 500;
@@ -108,9 +108,9 @@
   double wasted;
 
   private final ReplayLoad load;
-  private final List<WorkerReport.Completion> ended = new ArrayList<>();
+  private final List<WorkerReport.Completion> completions = new ArrayList<>();
   private final Random noise = new Random(5);
-  private long ends;
+  private long completionCount;
 
   ReplayWorker(String id, long cores, String dataCentre, ReplayLoad load) {
     this.load = load;
@@ -146,18 +146,19 @@
     }
   }
 
-  private void end(Running run, WorkerReport.CompletionStatus how) {
-    ends++;
-    ended.add(
-        new WorkerReport.Completion(ends, run.run.task(), run.run.run(), how, run.checkpoint()));
+  private void end(Running run, WorkerReport.CompletionStatus status) {
+    completionCount++;
+    completions.add(
+        new WorkerReport.Completion(
+            completionCount, run.run.task(), run.run.run(), status, run.checkpoint()));
   }
 
-  boolean hasEnds() {
-    return !ended.isEmpty();
+  boolean hasCompletions() {
+    return !completions.isEmpty();
   }
 
   WorkerReport report(long acknowledged, long now) {
-    ended.removeIf(end -> end.number() <= acknowledged);
+    completions.removeIf(completion -> completion.number() <= acknowledged);
     List<WorkerReport.Running> list =
         running.values().stream()
             .map(
@@ -167,13 +168,13 @@
                         run.run.run(),
                         run.checkpoint(),
                         progress(run, now),
-                        run.spec.serves() ? Math.round(rough(run.mean())) : run.mean()))
+                        run.spec.serves() ? Math.round(withNoise(run.mean())) : run.mean()))
             .toList();
-    return new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, now, list, ended);
+    return new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, now, list, completions);
   }
 
-  private double rough(double tail) {
-    return tail * Math.exp(ROUGHNESS * noise.nextGaussian());
+  private double withNoise(double tail) {
+    return tail * Math.exp(TAIL_NOISE * noise.nextGaussian());
   }
 
   private static int progress(Running run, long now) {
@@ -233,27 +234,28 @@
       run.over = tail > run.spec.targetMillis();
       return;
     }
-    boolean fills = run.spec.is(StepSpec.Trait.FILLS);
+    boolean bestEffort = run.spec.is(StepSpec.Trait.FILLS);
     boolean restoring = run.resumed && now - run.beganMillis < RESTORE_MILLIS;
-    run.rate = restoring ? 0 : fills ? granted * run.pace / 100.0 : 1;
+    run.rate = restoring ? 0 : bestEffort ? granted * run.pace / 100.0 : 1;
     run.recent[slot] = run.rate * run.spec.need().cpuMillis();
     run.doneMillis += run.rate * speed * Replay.STEP_MILLIS;
   }
 
   private double tail(Running run, long now) {
-    double pressure =
+    double slowdown =
         running.values().stream()
             .filter(other -> other.spec.is(StepSpec.Trait.FILLS))
-            .mapToDouble(other -> pressure(run, other) * other.activity(now))
+            .mapToDouble(other -> slowdown(run, other) * other.activity(now))
             .sum();
-    double slower = 1 + pressure;
+    double slower = 1 + slowdown;
     double idle = 1 - run.service.load(now) * slower;
     double tail = load.baseTailMillis() * slower / Math.max(idle, 1e-6);
     return Math.min(LONGEST_TAIL, tail);
   }
 
-  private double pressure(Running serving, Running filling) {
-    double share = filling.rate * filling.spec.need().cpuMillis() / info.capacity().cpuMillis();
-    return load.weight(serving.spec.image(), filling.spec.image()) * share;
+  private double slowdown(Running serving, Running bestEffort) {
+    double share =
+        bestEffort.rate * bestEffort.spec.need().cpuMillis() / info.capacity().cpuMillis();
+    return load.weight(serving.spec.image(), bestEffort.spec.image()) * share;
   }
 }
