--- a/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
+++ b/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
@@ -1,10 +1,10 @@
 package org.cottontack.core.job;
 
 /**
- * How far the tail of a service would be under its bound by its own load alone, as bound / tail.
- * The load: a service's users come in swings of some seconds, for all its tasks alike, so the same
- * neighbour does no harm now and breaks the bound five seconds later. A Kalman filter (Kalman 1960)
- * keeps level and slope, fed by the reports of all tasks of the service.
+ * Estimates the headroom, bound / tail, that a service would have under its own load alone. The
+ * load of a service swings within some seconds, for all its tasks alike, so a neighbour that does
+ * no harm now may break the bound five seconds later. A Kalman filter (Kalman 1960) estimates level
+ * and slope from the reports of all tasks of the service.
  */
 final class BaselineHeadroom {
 
@@ -13,37 +13,44 @@
    */
   private static final double FIRST_LEVEL = 2.5;
 
-  /** Variance of that: services at rest have 3.9, at the top of their swing 1.6. */
+  /**
+   * Variance of {@link #FIRST_LEVEL}: services have a headroom of 3.9 at rest and 1.6 at the top of
+   * their swing.
+   */
   private static final double FIRST_VARIANCE = 0.6;
 
-  /** Variance of the slope at first, per second squared: swings change headroom by 0.5 a second. */
+  /** Initial variance of the slope, per second squared: swings change headroom by 0.5 a second. */
   private static final double FIRST_SLOPE_VARIANCE = 0.15;
 
-  /** Growth of the slope's variance in each second: a swing turns round within 3 s. */
+  /** Growth of the variance of the slope in each second: a swing turns round within 3 s. */
   private static final double SLOPE_NOISE = 0.08;
 
-  /** Growth of the level's variance in each second. */
+  /** Growth of the variance of the level in each second. */
   private static final double LEVEL_NOISE = 0.01;
 
   /**
-   * Time in which half of an unusual level is forgotten, in seconds: a service that never ran alone
-   * is rather harmed by what always fills beside it than over its bound by its own load.
+   * Time in which an unusual level decays by half towards {@link #FIRST_LEVEL}, in seconds. A
+   * service that never ran alone is more likely to be harmed by the best-effort tasks that are
+   * always beside it than to be over its bound by its own load.
    */
   private static final double HALF_LIFE_SECONDS = 15;
 
   /**
-   * Difference above which a report is no news of a service's own load: what one of its tasks has
+   * Largest difference that is attributed to the service's own load: what one of its tasks has
    * beyond that comes from its worker.
    */
   private static final double MAX_CORRECTION = 0.6;
 
-  /** A service that is alone is about within its bound: what it lacks beyond that is harm. */
+  /**
+   * Lowest level: a service that runs alone is about within its bound, so what it lacks beyond that
+   * is harm by neighbours.
+   */
   private static final double LEAST_LEVEL = 0.9;
 
   /** Steepest slope of a swing, per second. */
   private static final double MAX_SLOPE = 0.8;
 
-  /** Longest span that a slope is followed for, in seconds: a swing has turned by then. */
+  /** Longest time that a slope is extrapolated for, in seconds: a swing has turned by then. */
   private static final double MAX_EXTRAPOLATION_SECONDS = 1.5;
 
   private static final double MILLIS = 1_000.0;
@@ -56,7 +63,7 @@
   private long atMillis;
   private boolean started;
 
-  /** Lets time pass up to a report. */
+  /** Advances the estimate to the time of a report. */
   void advance(long millis) {
     if (!started) {
       started = true;
@@ -76,7 +83,10 @@
     }
   }
 
-  /** After a long silence nothing is known of the swing any more. */
+  /**
+   * Resets slope and variances: after a long time without reports the state of the swing is
+   * unknown.
+   */
   private void forget() {
     levelVariance = FIRST_VARIANCE;
     covariance = 0;
@@ -85,10 +95,10 @@
   }
 
   /**
-   * Takes in by how much a report differs from what was predicted.
+   * Updates the estimate by the difference between a report and its prediction.
    *
    * @param difference reported less predicted headroom
-   * @param variance of that difference, this level's own included
+   * @param variance variance of that difference, including that of this level
    */
   void correct(double difference, double variance) {
     double levelGain = levelVariance / variance;
@@ -110,7 +120,7 @@
     return levelVariance;
   }
 
-  /** Returns the probable headroom at a time. */
+  /** Returns the expected headroom at a time. */
   double at(long millis) {
     double seconds = started ? (millis - atMillis) / MILLIS : 0;
     return level + slope * Math.max(0, Math.min(seconds, MAX_EXTRAPOLATION_SECONDS));
--- a/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
+++ b/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
@@ -3,32 +3,38 @@
 import java.util.List;
 
 /**
- * What decides whether one more task that fills may join a worker. It is kept until something on
- * the worker changes: each waiting task asks every worker.
+ * The state of a worker that decides whether one more best-effort task may join it. It is cached
+ * until something on the worker changes, because each waiting task asks every worker.
  *
- * @param overBound whether a tail is over its bound
+ * @param overBound whether the tail latency of a serving task is over its bound
  * @param leftoverCpu processor time that nothing uses, in thousandths of a core
- * @param tolerance share of the images that may fill beside the least tolerant image there
+ * @param tolerance share of the best-effort images that may run beside the least tolerant serving
+ *     image there
  * @param neighbours the services there
  */
 record ContentionSnapshot(
     boolean overBound, long leftoverCpu, double tolerance, List<Neighbour> neighbours) {
 
-  /** How far ahead a place is judged, in milliseconds: later, paces follow the load. */
+  /**
+   * How far ahead headroom is checked for a placement, in milliseconds. Beyond that, pacing adapts
+   * the runs to the load.
+   */
   private static final long SOON_MILLIS = 200;
 
   private static final long LATER_MILLIS = 500;
 
-  /** Headroom taken that does not count: less than reports differ by. */
+  /** Effects on headroom below this are ignored, because reports differ by more. */
   static final double NEGLIGIBLE_EFFECT = 0.02;
 
   /**
    * A service on the worker.
    *
    * @param task one of its tasks
-   * @param headroomUsed headroom that what fills there takes already
-   * @param headroomAvailable headroom that may be taken now and in the next second
-   * @param unknownImagePresent whether it shows first what an image there does to it
+   * @param headroomUsed headroom that best-effort tasks there take already
+   * @param headroomAvailable headroom that may be taken, the lower of the values expected at {@link
+   *     #SOON_MILLIS} and {@link #LATER_MILLIS} from now
+   * @param unknownImagePresent whether an image runs there whose effect on the service no report
+   *     has shown yet
    */
   record Neighbour(
       Task task, double headroomUsed, double headroomAvailable, boolean unknownImagePresent) {}
@@ -56,9 +62,10 @@
   }
 
   /**
-   * Returns the strain on the worst-off service if a task that fills joined: the headroom taken as
-   * a share of what may be taken. What takes next to nothing strains nothing. Of images that nobody
-   * knows one at a time may join: of two, reports could not tell which one does the harm.
+   * Returns the headroom use of the worst-off service if a best-effort task joined: the headroom
+   * taken as a share of the headroom available. A task with a negligible effect counts as no use.
+   * Only one image of unknown effect may join at a time, because reports cannot show which of two
+   * such images does the harm.
    */
   double headroomUseWith(Worker worker, Task added, Interference interference) {
     return neighbours.stream()
--- a/core/src/main/java/org/cottontack/core/job/DurationEstimates.java
+++ b/core/src/main/java/org/cottontack/core/job/DurationEstimates.java
@@ -5,37 +5,39 @@
 import java.util.stream.Stream;
 
 /**
- * Corrects declared durations by measured ones. The load: callers of one queue declare nearly the
- * truth, those of another are off by a factor of three either way, and an order of jobs that trusts
- * the latter is as good as none. For each queue the logarithm of a run's duration is fitted to the
- * logarithm of its declared one by least squares with forgetting, so that a declared time counts as
- * much as it has told before.
+ * Corrects declared durations by measured ones. Callers of some queues declare nearly the true
+ * durations, those of others are off by a factor of three either way, and ordering jobs by such
+ * declarations is useless. For each queue the logarithm of the measured duration of a run is fitted
+ * to the logarithm of the declared one by least squares with exponential forgetting, so that
+ * declared durations count as much as their past accuracy justifies.
  */
 final class DurationEstimates {
 
   /**
-   * Weight that all earlier runs keep with each new one: some 500 runs count, about 5 s of load.
+   * Factor by which the weight of all earlier runs is multiplied at each new one: some 500 runs
+   * count, about 5 s of load.
    */
   private static final double RETENTION = 0.998;
 
-  /** Runs that a queue's declared times are trusted as if they had been seen to be right. */
+  /** Number of accurately declared runs that a queue is assumed to have had at first. */
   private static final double TRUSTED_RUNS = 5;
 
-  /** Spread of the logarithm of declared times assumed at first: a factor of 1.6 either way. */
+  /**
+   * Variance of the logarithm of declared durations assumed at first: a factor of 1.6 either way.
+   */
   private static final double TRUSTED_VARIANCE = 0.25;
 
   /** Weight that earlier jobs keep in the mean work of a queue's jobs: some 50 jobs count. */
   private static final double WORK_RETENTION = 0.98;
 
   /**
-   * What is known of a queue: sums over its runs, each weighted by its age, of logarithms of
-   * milliseconds.
+   * The fit of a queue: sums over its runs, weighted by age, of logarithms of milliseconds.
    *
    * @param name the queue
    * @param runs weight of all runs
-   * @param declared sum of declared times
-   * @param measured sum of measured times
-   * @param declaredSquare sum of squares of declared times
+   * @param declared sum of declared durations
+   * @param measured sum of measured durations
+   * @param declaredSquare sum of squares of declared durations
    * @param product sum of products of both
    * @param meanWork mean work of its jobs, in thousandths of a core times milliseconds
    */
@@ -80,7 +82,7 @@
   private final Map<String, Fit> fits = new HashMap<>();
   private final Map<String, Double> meanWork = new HashMap<>();
 
-  /** Returns what is known of each queue. */
+  /** Returns the fit of each queue. */
   Stream<Queue> queues() {
     return fits.entrySet().stream()
         .map(
@@ -97,7 +99,7 @@
             });
   }
 
-  /** Takes over what an earlier leader has learned. */
+  /** Restores what an earlier leader has learned. */
   void restore(Queue queue) {
     Fit fit = fits.computeIfAbsent(queue.name(), name -> new Fit());
     fit.runs = queue.runs();
@@ -108,7 +110,7 @@
     meanWork.put(queue.name(), queue.meanWork());
   }
 
-  /** Takes in how long a run took that was neither slowed nor resumed. */
+  /** Records the duration of a run that was neither slowed nor resumed. */
   void learn(JobQueue queue, StepSpec step, long millis) {
     if (step.estimateMillis() > 0 && millis > 0) {
       fits.computeIfAbsent(queue.name(), name -> new Fit())
@@ -116,7 +118,7 @@
     }
   }
 
-  /** Returns how long a task of a step will probably take, in milliseconds. */
+  /** Returns the expected duration of a task of a step, in milliseconds. */
   long millis(JobQueue queue, StepSpec step) {
     Fit fit = fits.get(queue.name());
     return fit == null || step.estimateMillis() <= 0
@@ -124,7 +126,7 @@
         : Math.round(Math.exp(fit.predict(Math.log((double) step.estimateMillis()))));
   }
 
-  /** Takes in the work of a job that arrived, in thousandths of a core times milliseconds. */
+  /** Records the work of a job that arrived, in thousandths of a core times milliseconds. */
   void recordArrival(JobQueue queue, double work) {
     meanWork.merge(
         queue.name(), work, (mean, next) -> WORK_RETENTION * mean + (1 - WORK_RETENTION) * next);
--- a/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
+++ b/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
@@ -7,39 +7,42 @@
 import java.util.stream.Stream;
 
 /**
- * What is known of the images that fill beside one image that serves: by how much each lowers its
- * headroom for each share of the processors that it uses. The covariances of a Kalman filter make
- * blame fall on the image that is not yet known to be harmless.
+ * The weights of the best-effort images that run beside one serving image: by how much each lowers
+ * its headroom per share of the processors that it uses. The covariances of a Kalman filter
+ * attribute harm to the images that are not yet known to be harmless.
  */
 final class InterferenceWeights {
 
-  /** Weight assumed for a pair never seen; most pairs have less than 1, harmful ones 6 to 20. */
+  /** Weight assumed for a pair never seen. Most pairs have less than 1, harmful ones 6 to 20. */
   private static final double PRIOR = 3;
 
-  /** Variance of weights between pairs. */
+  /** Variance of the weights of different pairs. */
   private static final double PRIOR_VARIANCE = 36;
 
   /**
-   * Variance that a well-known weight keeps, so that a change is followed within some 100 reports.
+   * Lower limit of the variance of a weight, so that a well-known weight follows a change within
+   * some 100 reports.
    */
   private static final double LEAST_VARIANCE = 0.5;
 
   /**
-   * Least weight of a pair. What is always there looks like the service's own load; believed to be
-   * harmless, eight such tasks together broke the bound.
+   * Lower limit of a weight. An image that is always present cannot be distinguished from the
+   * service's own load: eight such tasks, taken for harmless, together broke the bound.
    */
   private static final double LEAST_WEIGHT = 0.2;
 
-  /** Standard deviation of an image's effect through the phases of its work, as a share of it. */
+  /**
+   * Standard deviation of an image's effect over the phases of its work, as a share of the effect.
+   */
   private static final double PHASE_DEVIATION = 0.6;
 
-  /** Weight up to which an image may fill beside another at most times. */
+  /** Weight below which an image may run beside another at most times. */
   private static final double MILD_WEIGHT = 2.5;
 
   /**
-   * Images remembered; the one not heard of for longest makes room. Callers name images: without a
-   * bound one that gives each job a new name would fill the memory and the row that is kept for the
-   * next leader.
+   * Number of images kept; the least recently reported one is evicted. Callers name images: without
+   * a limit, a caller that gives each job a new name would fill the memory and the row that is
+   * stored for the next leader.
    */
   static final int MOST_IMAGES = 32;
 
@@ -70,7 +73,7 @@
     return free;
   }
 
-  /** A mixture of images beside a task, as it was reported, with what it should do. */
+  /** The images that a report shows beside a task, with their predicted effect. */
   final class Mixture {
     private final int[] indexes;
     private final double[] shares;
@@ -99,25 +102,26 @@
           IntStream.range(0, indexes.length).mapToDouble(i -> gain[indexes[i]] * shares[i]).sum();
     }
 
-    /** Returns the headroom that the mixture takes. */
+    /** Returns the predicted headroom that the images take. */
     double headroomUse() {
       return headroomUse;
     }
 
-    /** Returns the variance of that. */
+    /** Returns the variance of {@link #headroomUse()} that comes from uncertain weights. */
     double variance() {
       return variance;
     }
 
-    /** Returns the variance that comes with the phases of the tasks' work. */
+    /** Returns the variance that comes from the phases of the tasks' work. */
     double phaseVariance() {
       return phaseVariance;
     }
 
     /**
-     * Takes in by how much more headroom was taken than that.
+     * Updates the weights by the difference between the headroom taken and its prediction.
      *
-     * @param variance of the difference, the mixture's own included
+     * @param difference headroom taken beyond {@link #headroomUse()}
+     * @param variance variance of the difference, including that of this mixture
      */
     void correct(double difference, double variance) {
       for (int row = 0; row < gain.length; row++) {
@@ -132,30 +136,30 @@
     }
   }
 
-  /** Returns what images with the given shares of the processors should do. */
+  /** Returns the predicted effect of images with the given shares of the processors. */
   Mixture mixture(Map<String, Double> shares) {
     return new Mixture(shares);
   }
 
-  /** Returns whether no report has told of an image yet. */
+  /** Returns whether no report has shown the effect of an image yet. */
   boolean unknown(String image) {
     Integer at = index.get(image);
     return at == null || covariance[at][at] >= PRIOR_VARIANCE;
   }
 
-  /** Returns the probable weight of an image. */
+  /** Returns the expected weight of an image. */
   double weight(String image) {
     Integer at = index.get(image);
     return at == null ? PRIOR : Math.max(0, weights[at]);
   }
 
-  /** Returns the share of known images that may fill here at most times. */
+  /** Returns the share of the known images that may run beside this one at most times. */
   double tolerance() {
     long mild = index.values().stream().filter(at -> weights[at] < MILD_WEIGHT).count();
     return index.isEmpty() ? 1 : mild / (double) index.size();
   }
 
-  /** Returns what is known under a name, what was heard of last coming last. */
+  /** Returns the estimates of all images for a serving image, the most recently reported last. */
   Stream<Interference.Pair> pairs(String serving) {
     return index.entrySet().stream()
         .map(
@@ -166,7 +170,7 @@
             });
   }
 
-  /** Takes over what an earlier leader has learned: weight and variance, no covariances. */
+  /** Restores what an earlier leader has learned: weight and variance, without covariances. */
   void restore(Interference.Pair pair) {
     int at = indexOf(pair.bestEffort());
     weights[at] = pair.weight();
--- a/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
@@ -5,53 +5,66 @@
 import java.util.stream.Stream;
 
 /**
- * Learns how much tasks that fill slow tasks that serve, and when. The load: most pairs of images
- * hardly matter, and some do much harm; several images work on a worker at once; the load of a
- * service swings, and its tail grows like that of a queue, without bound as the load comes near
- * what it can carry. What a neighbour takes from the headroom, bound / tail, is the same at any
- * load, as it lengthens each response by the same factor; its logarithm, or the tail itself, is
- * not: at the top of a swing a pair did 3 times as much to them as at rest. So headroom is split
- * into what the service's own load leaves ({@link BaselineHeadroom}) and what each neighbour takes
- * of it ({@link InterferenceWeights}), both learned from the same reports.
+ * Learns how much best-effort tasks slow serving tasks, and at which load. Most pairs of images
+ * hardly matter, and some do much harm. Several images run on a worker at once. The load of a
+ * service swings, and its tail latency grows like that of a queue, without bound as the load
+ * approaches the capacity. What a neighbour takes from the headroom, bound / tail, is the same at
+ * any load, because it lengthens each response by the same factor. This does not hold for the tail
+ * or its logarithm: at the top of a swing a pair did 3 times as much to these as at rest. So
+ * headroom is split into the headroom that the service's own load leaves ({@link BaselineHeadroom})
+ * and the headroom that each neighbour takes of it ({@link InterferenceWeights}), both learned from
+ * the same reports.
  */
 final class LearnedInterference implements Interference {
 
-  /** Age of what a report tells, in milliseconds: the middle of the half second it covers. */
+  /**
+   * Age of the reported loads, in milliseconds: the middle of the half second that a report covers.
+   */
   private static final long REPORT_AGE_MILLIS = 250;
 
-  /** Variance of reported headroom, at a bound just met. */
+  /** Variance of reported headroom when the bound is just met. */
   private static final double NOISE = 0.01;
 
-  /** Growth of its standard deviation with headroom squared: tails come in whole milliseconds. */
+  /**
+   * Growth of the standard deviation of reported headroom with the square of headroom: tails are
+   * reported in whole milliseconds.
+   */
   private static final double ROUNDING_ERROR = 0.015;
 
-  /** Headroom above which reports tell nothing more. */
+  /** Headroom above which reports give no further information. */
   private static final double MOST_HEADROOM = 10;
 
-  /** Headroom below which a queue grows without bound. */
+  /** Headroom below which the queue of a service grows without bound. */
   private static final double OVERLOADED = 0.3;
 
   /**
-   * A tail of this many times its bound tells of a worker that stands still, not of neighbours.
-   * Taken for these, three such workers made all tasks of their services look overloaded.
+   * A tail of this many times its bound shows that the worker has stalled, not that neighbours do
+   * harm. When such reports were learned from, three stalled workers made all tasks of their
+   * services look overloaded.
    */
   static final double STALLED_WORKER_RATIO = 50;
 
-  /** Headroom that stands for the worst lack. */
+  /** Lowest headroom, used for the worst overload. */
   private static final double LEAST_HEADROOM = -1;
 
-  /** Share of the processors below which an image says nothing about its weight. */
+  /** Share of the processors below which an image gives no information about its weight. */
   private static final double LEAST_SHARE = 0.005;
 
-  /** How long what has ended still shows in reports, in milliseconds. */
+  /** How long a run that ended still shows in the reported loads, in milliseconds. */
   private static final long RESIDUAL_LOAD_MILLIS = 500;
 
-  /** Headroom kept: reports are rough, and a bound that is just met is missed half of the time. */
+  /**
+   * Headroom held back: reports are noisy, and a bound that is aimed at exactly is missed half of
+   * the time.
+   */
   private static final double MARGIN = 0.16;
 
   private static final int SERVING_PROGRESS = 100;
 
-  /** Services remembered: over twice as many as are to run at a time; the quietest makes room. */
+  /**
+   * Number of services kept, over twice as many as are expected to run at a time. The least
+   * recently used one is evicted.
+   */
   private static final int MOST_SERVICES = 4_096;
 
   private final Map<String, InterferenceWeights> weightsByImage =
@@ -107,8 +120,9 @@
   }
 
   /**
-   * Returns how often the reported tail would fit into the bound. A tail that is many times its
-   * bound grows for as long as more is taken than there was, so it stands for a lack.
+   * Returns the reported headroom. A tail that is many times its bound grows for as long as more
+   * headroom is taken than there was, so it is mapped to a shortage, down to {@link
+   * #LEAST_HEADROOM}.
    */
   private static double headroom(Task serving) {
     double headroom = Math.min(MOST_HEADROOM, serving.spec.targetMillis() / serving.load);
--- a/core/src/main/java/org/cottontack/core/job/LearnedText.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedText.java
@@ -15,43 +15,49 @@
 
 /**
  * The stored form of what a leader has learned: one line for each queue, each pair of images and
- * each life of a worker that may hide ends, was sent acknowledgements of ends or has held ones. A
- * new leader that starts without it tries harmful pairs all over again. Names are escaped, since
- * callers choose those of images.
+ * each incarnation of a worker that may have suppressed completions, was sent acknowledgements of
+ * completions or has deferred acknowledgements. A new leader that starts without it would try
+ * harmful pairs all over again. Names are escaped, because callers choose those of images.
  */
 final class LearnedText {
 
-  /** Size up to which it is written, in bytes: half of the smallest row the store takes. */
+  /** Size limit of the text, in bytes: half of the smallest row that the store accepts. */
   static final int MOST_BYTES = 32_000;
 
-  /** Weights of headroom; lines that begin with "pair" hold others, which mean nothing here. */
+  /**
+   * Lines of weights of headroom. Lines that begin with "pair" hold other weights, which have no
+   * meaning here.
+   */
   private static final String PAIR = "headroom";
 
   private static final int PAIR_FIELDS = 5;
   private static final String QUEUE = "queue";
   private static final int QUEUE_FIELDS = 8;
 
-  /** A life that may never list some of its ends. */
+  /** Lines of incarnations that may never list some of their completions. */
   private static final String SUPPRESSED = "hides";
 
-  /** A life to which ends were acknowledged. */
+  /** Lines of incarnations to which completions were acknowledged. */
   private static final String ACKNOWLEDGED = "acknowledged";
 
   private static final int INCARNATION_FIELDS = 3;
 
-  /** A life with held ends, and the lowest number of these. */
+  /**
+   * Lines of incarnations with deferred acknowledgements, and the lowest completion number of
+   * these.
+   */
   private static final String DEFERRED = "held";
 
   private static final int DEFERRED_FIELDS = INCARNATION_FIELDS + 1;
 
-  /** Size that lives leave to queues and pairs, in bytes. */
+  /** Size that incarnations leave to queues and pairs, in bytes. */
   private static final int LEARNED_BYTES = 8_000;
 
   /**
    * A text that was written.
    *
-   * @param incarnationsCut how many lives found no place in it
-   * @param learnedCut how many queues and pairs found none
+   * @param incarnationsCut how many incarnations did not fit into it
+   * @param learnedCut how many queues and pairs did not fit
    */
   record Written(String text, int incarnationsCut, int learnedCut) {}
 
@@ -64,8 +70,8 @@
   }
 
   /**
-   * Returns the text. Where it grows large, the last of the lives that hide ends and the pairs that
-   * were not heard of for longest are left out.
+   * Returns the text. If it would exceed the size limit, the last of the incarnations with
+   * suppressed completions and the pairs reported longest ago are left out.
    */
   Written write(
       Set<WorkerIncarnation> suppressed,
@@ -145,13 +151,14 @@
   }
 
   /**
-   * Reads a text back. Lines of another version of this program are skipped: it leads in turn with
-   * this one during a rolling replacement, and a leader that fails at the start of each term would
-   * let all jobs stand still.
+   * Reads a text back. Lines of another version of this program are skipped: that version leads in
+   * turn with this one during a rolling replacement, and a leader that fails at the start of each
+   * term would leave all jobs without progress.
    *
-   * @param suppressed takes the lives that may never list some ends
-   * @param acknowledged takes those to which ends were acknowledged
-   * @param deferred takes the lowest number that is held on each life with held ends
+   * @param suppressed receives the incarnations that may never list some completions
+   * @param acknowledged receives those to which completions were acknowledged
+   * @param deferred receives the lowest number of a deferred acknowledgement for each incarnation
+   *     that has some
    * @return how many lines were skipped
    */
   long restore(
@@ -163,7 +170,10 @@
     return lines.stream().filter(line -> !read(line, suppressed, acknowledged, deferred)).count();
   }
 
-  /** Returns the lives to which ends were acknowledged, by a text that {@link #write} returned. */
+  /**
+   * Returns the incarnations to which completions were acknowledged, from a text that {@link
+   * #write} returned.
+   */
   static Set<WorkerIncarnation> acknowledged(String text) {
     return text.lines()
         .map(line -> line.split(" ", -1))
@@ -217,7 +227,7 @@
   private static double number(String text) {
     double number = Double.parseDouble(text);
     if (!Double.isFinite(number)) {
-      throw new IllegalArgumentException("not a number: " + text);
+      throw new IllegalArgumentException("not a finite number: " + text);
     }
     return number;
   }
--- a/core/src/main/java/org/cottontack/core/job/LoadText.java
+++ b/core/src/main/java/org/cottontack/core/job/LoadText.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.function.Predicate;
 
-/** One line about the load of all workers, for logs. */
+/** Formats the load of all workers as one line, for logs. */
 final class LoadText {
 
   private LoadText() {}
--- a/core/src/main/java/org/cottontack/core/job/LruMap.java
+++ b/core/src/main/java/org/cottontack/core/job/LruMap.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map that keeps a number of entries; the one that was used longest ago makes room. */
+/** A map with a limited number of entries that evicts the least recently used one. */
 final class LruMap<K, V> extends LinkedHashMap<K, V> {
 
   @Serial private static final long serialVersionUID = 1L;
--- a/core/src/main/java/org/cottontack/core/job/Pacing.java
+++ b/core/src/main/java/org/cottontack/core/job/Pacing.java
@@ -8,55 +8,64 @@
 import java.util.Optional;
 
 /**
- * Slows tasks that fill where a task that serves would come over its bound. The load: services
- * swing within seconds, reports come half a second late, and most tasks that fill have no part in
- * it. So with each report the headroom that each service there will have is shared out: first to
- * those that take least of it for the work they do, and what is left to the others. A tail that
- * stays over its bound all the same halts everything beside it.
+ * Paces best-effort tasks where a serving task would exceed its bound. The pace is the share of
+ * full speed that a run may use, in percent. The load of services swings within seconds, reports
+ * come half a second late, and most best-effort tasks have no part in the excess. So with each
+ * report the expected headroom of each service on the worker is shared out: first to the tasks that
+ * take least of it for the work they do, and what remains to the others. If a tail stays over its
+ * bound all the same, every best-effort task beside it is halted.
  */
 final class Pacing {
 
-  /** Share of the bound from which a tail may in truth be over it. */
+  /** Share of the bound above which the true tail may be over the bound. */
   private static final double NEAR_BOUND_SHARE = 0.95;
 
   /**
-   * Share of the bound above which all that does harm is halted, whatever it was thought to do: a
-   * queue that has grown so far shrinks only if nothing is taken.
+   * Multiple of the bound above which everything that does harm is halted, whatever its estimated
+   * effect: a queue that has grown this long shrinks only if nothing takes headroom.
    */
   private static final double FAR_OVER = 2;
 
-  /** Share of the bound under which a tail is surely within it. */
+  /** Share of the bound below which the true tail is surely within the bound. */
   private static final double WITHIN_BOUND_SHARE = 0.75;
 
   /**
-   * How far ahead headroom is shared out, in milliseconds: the middle of the time until the next
-   * report's orders act.
+   * How far ahead headroom is shared out, in milliseconds: the middle of the time until the orders
+   * that follow the next report take effect.
    */
   private static final long LOOKAHEAD_MILLIS = 300;
 
   /**
-   * Headroom by which reports differ from what was predicted though nothing is wrong: their
-   * standard deviation is 0.23 to 0.3. Only what is missing beyond that is made up for at once;
-   * otherwise runs are slowed and moved for nothing.
+   * Difference between reported and predicted headroom that is normal: its standard deviation is
+   * 0.23 to 0.3. Only what is missing beyond that is corrected at once; otherwise runs would be
+   * slowed and moved without cause.
    */
   private static final double PREDICTION_ERROR = 0.3;
 
-  /** Time over the bound after which all are halted, in milliseconds: half of what is allowed. */
+  /**
+   * Time over the bound after which all best-effort tasks are halted, in milliseconds: half of the
+   * time that a tail is allowed to be over its bound.
+   */
   private static final long HALT_AFTER_MILLIS = 1_800;
 
   /**
-   * Work that a move costs beside what is not saved, in milliseconds: the order, the start, and the
-   * way back to a checkpoint.
+   * Work that a move costs in addition to the unsaved work, in milliseconds: the order, the start,
+   * and the restore of a checkpoint.
    */
   private static final long MOVE_MILLIS = 300;
 
-  /** Progress up to which a run that keeps no checkpoints is given up, in percent. */
+  /**
+   * Progress, in percent, below which a run without checkpoints may be stopped and lose its work.
+   */
   private static final int MAX_PROGRESS_TO_DISCARD = 50;
 
   /** Paces are multiples of this, in percent. */
   private static final int PACE_STEP = 5;
 
-  /** Least change that is worth an order, in percent. */
+  /**
+   * Smallest decrease of a pace that is worth an order, in percent. {@link #LEAST_RISE} is that of
+   * an increase.
+   */
   private static final int LEAST_DROP = 25;
 
   private static final int LEAST_RISE = 20;
@@ -67,7 +76,7 @@
     this.interference = interference;
   }
 
-  /** Returns the orders that bring a worker's tasks that fill to the right pace. */
+  /** Returns the orders that set the best-effort tasks of a worker to the right pace. */
   List<JobEffect> adjust(Worker worker, long nowMillis) {
     worker.serving().forEach(task -> updateOverSince(task, nowMillis));
     List<Task> bestEffort =
@@ -96,9 +105,9 @@
   }
 
   /**
-   * Notes since when a tail has been near or over its bound. Reports are rough: one that reads a
-   * little under the bound between two that read over it does not end the span, or a tail could
-   * stay over its bound for long without ever counting as such.
+   * Records since when a tail has been near or over its bound. Reports are noisy: a report a little
+   * under the bound between two over it does not end the span. Otherwise a tail could stay over its
+   * bound for long without being treated as such.
    */
   private static void updateOverSince(Task serving, long nowMillis) {
     if (ratio(serving) < WITHIN_BOUND_SHARE) {
@@ -135,7 +144,10 @@
         - Math.max(0, serving.excess - PREDICTION_ERROR);
   }
 
-  /** Returns the headroom that a task takes from the worst-off service for each core. */
+  /**
+   * Returns the headroom that a task takes from the worst-off service, for each core that it asks
+   * for.
+   */
   private double headroomPerCore(Worker worker, Task bestEffort) {
     return worker.services().stream()
             .mapToDouble(serving -> interference.effect(worker, serving, bestEffort))
@@ -182,9 +194,10 @@
   }
 
   /**
-   * Returns a task that fills and has missed as much at a low pace as its stop would cost it. How
-   * long it will stay slow is not known; waiting for just that loses at most twice what knowing
-   * would. Where checkpoints are far apart a move is dear, where they are close it is not.
+   * Returns a best-effort task that has missed more work at a low pace than its stop would cost.
+   * How long the task would stay slow is unknown; waiting until the missed work equals the cost of
+   * a stop loses at most twice what a choice with that knowledge would. A move is expensive where
+   * checkpoints are far apart and cheap where they are close.
    */
   Optional<Task> runToMove(Worker worker, long nowMillis) {
     return worker
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -19,12 +19,18 @@
   private static final int CRASH_FIELDS = 2;
   private static final int MOST_FIELDS = FIELDS + CRASH_FIELDS + 1;
 
-  /** Sign of a life's beginning where copies of a start may come; an earlier version skips it. */
+  /**
+   * Precedes the start time of the worker's incarnation where duplicate starts are possible.
+   * Earlier versions skip it.
+   */
   private static final String DUPLICATE_POSSIBLE = "+";
 
   private ProgressText() {}
 
-  /** One task's line. Checkpoints are escaped: workers choose them, and may use line breaks. */
+  /**
+   * The line of one task. Checkpoints are escaped, because workers choose them and may use line
+   * breaks.
+   */
   private record Line(
       int occurrence,
       int step,
@@ -54,17 +60,23 @@
           task.duplicateStartPossible);
     }
 
-    /** A task that waits for a start on its way to expire names the worker that it was sent to. */
+    /**
+     * Returns the worker of a task. For a task that waits until a start which may still be on its
+     * way has expired, this is the worker that the start was sent to.
+     */
     private static Optional<WorkerIncarnation> worker(Task task) {
       return Optional.ofNullable(task.worker)
           .or(() -> task.phase == Task.Phase.WAITING ? task.refusing() : Optional.empty());
     }
 
-    /** The crashes and the beginning of the worker's life are left out where there are none. */
+    /**
+     * Parses a line. The crashes and the start time of the worker's incarnation are left out where
+     * there are none.
+     */
     static Line parse(String text) {
       String[] fields = text.split(" ", -1);
       if (fields.length < FIELDS || fields.length > MOST_FIELDS || fields[3].length() != 1) {
-        throw new IllegalArgumentException("not a task's progress: " + text);
+        throw new IllegalArgumentException("not the progress of a task: " + text);
       }
       boolean hasCrashes = fields.length >= FIELDS + CRASH_FIELDS;
       boolean hasStartTime = (fields.length - FIELDS) % CRASH_FIELDS == 1;
@@ -101,7 +113,7 @@
               Integer.toString(failures),
               worker.map(incarnation -> incarnation.worker().value()).orElse(NO_WORKER),
               URLEncoder.encode(checkpoint, StandardCharsets.UTF_8));
-      // An earlier version reads no longer lines than it writes, and leaves such a job alone.
+      // An earlier version rejects lines longer than those it writes, and leaves such a job alone.
       String withCrashes = crashes > 0 ? line + " " + crashes + " " + blamed : line;
       long startTimeMillis =
           worker
@@ -114,20 +126,20 @@
   }
 
   /**
-   * Returns the phase that a stored progress says.
+   * Returns the phase of a stored progress.
    *
-   * @throws IllegalArgumentException when it says none
+   * @throws IllegalArgumentException if there is none
    */
   public static JobPhase phase(String text) {
     if (text.isEmpty()) {
-      throw new IllegalArgumentException("the progress is empty");
+      throw new IllegalArgumentException("the stored progress is empty");
     }
     return JobPhase.of(text.charAt(0));
   }
 
   /**
-   * Returns whether a stored progress can be read. One that cannot, by damage or because another
-   * version wrote it, must not be taken for none: its tasks may run or be done.
+   * Returns whether a stored progress can be read. An unreadable one, damaged or written by another
+   * version, must not be treated as no progress, because its tasks may run or be done.
    */
   public static boolean readable(String text) {
     try {
