--- a/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of declared durations and their correction. */
+/** Tests of the correction of declared durations. */
 public class DurationEstimatesTest {
 
   private static final JobQueue QUEUE =
@@ -44,7 +44,10 @@
       assertEquals(new DurationEstimates().millis(QUEUE, step(700)), 700);
     }
 
-    /** Spread of declared times, a declared time, and the range that the true one lies in. */
+    /**
+     * Spread of declared durations, a declared duration, and the range that the estimate must lie
+     * in.
+     */
     @DataProvider
     public Object[][] declared() {
       return new Object[][] {
@@ -63,12 +66,13 @@
     }
   }
 
-  /** What the next leader starts with. */
+  /** Estimates after a change of leaders. */
   public static class Storing {
 
     /**
-     * Calling for a place right after a change of leaders, a caller would be judged by declared
-     * times again, and jobs that cannot be in time would go before those that can.
+     * Guards against estimates that are lost at a change of leaders. Callers would then be judged
+     * by their declared durations again, and jobs that cannot meet their objective would be placed
+     * before those that can.
      */
     @Test
     public void survivesTakeover() {
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** Tests of what is learned about images that share a worker. */
+/** Tests of the learned interference between images that share a worker. */
 public class InterferenceTest {
 
   private static final double TARGET = TestWorker.TARGET_MILLIS;
 
-  /** A serving task alone has a tail of this share of its bound, so a headroom of 2.5. */
+  /** Tail of a serving task that runs alone, as a share of its bound; this is a headroom of 2.5. */
   private static final double QUIET_SHARE = 0.4;
 
-  /** The time of reports, two a second. */
+  /** Time of the reports, two a second. */
   private static final AtomicLong REPORTS = new AtomicLong(10_000);
 
   private static Task task(String id, String image) {
@@ -43,12 +43,14 @@
     return snapshot.headroomUseWith(worker, bestEffort(image), interference);
   }
 
-  /** Returns the headroom lost by a service at rest whose tail's logarithm grows by a value. */
+  /**
+   * Returns the headroom lost by a service at rest when the logarithm of its tail grows by a value.
+   */
   private static double lostHeadroom(double harm) {
     return (1 - Math.exp(-harm)) / QUIET_SHARE;
   }
 
-  /** A rough report: the tail swings by a third either way. */
+  /** Learns from a noisy report: the tail varies by a third either way. */
   private static void report(Interference interference, Worker worker, double harm, Random random) {
     Task serving = worker.serving().findFirst().orElseThrow();
     double swing = Math.exp(0.3 * random.nextGaussian());
@@ -60,9 +62,10 @@
   public static class Pairs {
 
     /**
-     * Two images fill beside a serving one, and one of them triples its tail. Reports about both
-     * together cannot tell which; then some seconds of reports with the other one alone clear it.
-     * The blame moves to the right one, though nothing new is heard of that.
+     * Guards against harm that stays attributed to a harmless image. Two images run beside a
+     * serving one, and one of them triples its tail. Reports about both together cannot show which
+     * one does. Some seconds of reports with the other one alone clear it, and the harm must then
+     * be attributed to the first one, although no new report shows that one.
      */
     @Test
     public void attributesHarmToTheHarmfulImage() {
@@ -86,7 +89,7 @@
     }
 
     @Test
-    public void admitsOneUnknownImageAtATime() {
+    public void admitsOnlyOneUnknownImage() {
       Interference interference = new LearnedInterference();
       Worker alone = worker(serving());
       assertTrue(headroomUseWith(interference, alone, "new") < 0.9);
@@ -95,8 +98,9 @@
     }
 
     /**
-     * What fills anywhere goes beside the image that hardly anything may join, and leaves the
-     * tolerant one to the images that need it.
+     * Guards against a wrong tolerance. Best-effort tasks that may run anywhere are placed beside
+     * the images that tolerate the fewest others. This leaves tolerant images to the best-effort
+     * tasks that need them.
      */
     @Test
     public void toleranceIsTheShareOfHarmlessImages() {
@@ -116,8 +120,8 @@
     }
 
     /**
-     * The leader changes. Without what the last one has learned the next one would put harmful
-     * pairs together again, and users of the serving tasks would wait.
+     * Guards against weights that are lost at a change of leaders. The next leader would place
+     * harmful pairs together again, and users of the serving tasks would see slow responses.
      */
     @Test
     public void keepsWeightsOverTakeover() {
@@ -151,7 +155,7 @@
     private static final double HARMFUL = 0.6;
     private static final int SEEDS = 3;
 
-    /** Guards against weights that are mild at rest and harm services at the top of a swing. */
+    /** Guards against weights that are low at rest and harm services at the top of a swing. */
     @Test
     public void runsBestEffortTasksWithoutHarmWhileServiceLoadSwings() {
       ReplayOutcome mean = Replay.mean(ReplayShape.usual().sharing(SERVICES, HARMFUL), SEEDS);
--- a/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
@@ -14,13 +14,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what is kept for the next leader. Names in it come from callers. */
+/** Tests of the stored form of what a leader has learned. Names in it come from callers. */
 public class LearnedTextTest {
 
   private static final JobQueue QUEUE =
       new JobQueue("a queue\nof ours", "host", "/jobs/", "pool", 0, 2, 1.5, 250, false);
 
-  /** A tail with nothing harmful beside, in milliseconds. */
+  /** A tail without harmful neighbours, in milliseconds. */
   private static final double QUIET_TAIL = 20;
 
   private static Worker sharedWorker(Task serving, Task bestEffort) {
@@ -35,10 +35,10 @@
     return interference.effect(TestWorker.with(one, other), one, other);
   }
 
-  /** Names and texts that nobody expects. */
+  /** Unusual names and unreadable texts. */
   public static class UnexpectedTexts {
 
-    /** Images as callers may name them. */
+    /** Names that callers may give to images. */
     @DataProvider
     public Object[][] images() {
       return new Object[][] {
@@ -47,9 +47,9 @@
     }
 
     /**
-     * A caller names an image with a space or a line break. The leader changes, and the next one
-     * reads what the last one has learned. Were the name taken for fields, each new leader would
-     * fail at the start of its term, and all jobs would stand still.
+     * Guards against image names that are read as fields or lines, such as names with a space or a
+     * line break. Each new leader would fail at the start of its term when it reads the stored
+     * text, and no job would make progress.
      */
     @Test(dataProvider = "images")
     public void keepsAnyName(String image) {
@@ -92,8 +92,9 @@
     }
 
     /**
-     * Two versions of this program lead in turn during a rolling replacement. A line that one
-     * cannot read costs what was learned there; it must not cost the term.
+     * Guards against lines that cannot be read and end the term. Two versions of this program lead
+     * in turn during a rolling replacement. An unreadable line may lose what it holds, and nothing
+     * else.
      */
     @Test(dataProvider = "texts")
     public void skipsWhatItCannotRead(String text) {
@@ -108,10 +109,13 @@
     }
   }
 
-  /** Lives of workers. */
+  /** Incarnations of workers. */
   public static class Incarnations {
 
-    /** Guards against a leader that takes lives sent acknowledgements for ones that hide ends. */
+    /**
+     * Guards against a leader that treats incarnations that were sent acknowledgements as ones with
+     * suppressed completions.
+     */
     @Test
     public void distinguishesSuppressedFromAcknowledged() {
       Set<WorkerIncarnation> suppressed = Set.of(new WorkerIncarnation(new WorkerId("a b"), 5));
@@ -128,7 +132,10 @@
       assertEquals(nextAcknowledged, acknowledged);
     }
 
-    /** Guards against held ends left out for lives that hide ends. */
+    /**
+     * Guards against deferred acknowledgements that are left out in favour of suppressed
+     * completions.
+     */
     @Test
     public void keepsDeferredAcknowledgementsWhereNotAllFit() {
       Set<WorkerIncarnation> suppressed =
@@ -145,7 +152,10 @@
       assertEquals(next, deferred);
     }
 
-    /** Guards against held ends that the next leader does not know, or of another life. */
+    /**
+     * Guards against deferred acknowledgements that the next leader does not know or takes for
+     * those of another incarnation.
+     */
     @Test
     public void keepsDeferredAcknowledgements() {
       Map<WorkerIncarnation, Long> deferred =
@@ -160,12 +170,13 @@
     }
   }
 
-  /** Callers with ever new images. */
+  /** Size limits, with callers that use ever new images. */
   public static class Bounds {
 
     /**
-     * A caller gives each job an image of its own. What is learned stays small: a row that the
-     * store does not take would never be saved, nor would the progress that goes with it.
+     * Guards against a text that grows without limit when a caller gives each job an image of its
+     * own. The store would reject a row of that size, and the progress that is saved together with
+     * it would be lost as well.
      */
     @Test
     public void staysSmallWithEverNewImages() {
@@ -186,7 +197,7 @@
           "bytes: " + text.length());
     }
 
-    /** What was heard of last is kept. */
+    /** Guards against evicting an image that was reported recently. */
     @Test
     public void forgetsImagesReportedLongestAgo() {
       Interference interference = new LearnedInterference();
--- a/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
@@ -26,15 +26,15 @@
   /** Writing and reading back. */
   public static class RoundTrip {
 
-    /** Checkpoints as workers may give them. */
+    /** Checkpoints that workers may send. */
     @DataProvider
     public Object[][] checkpoints() {
       return new Object[][] {{""}, {"00000bb87a21d94b"}, {"two words"}, {"a\nb c\n"}, {"50%+ä"}};
     }
 
     /**
-     * A worker gives a checkpoint of any text. The leader changes, and the run resumes from that
-     * very checkpoint; a text taken for several lines would keep the next leader from starting.
+     * Guards against checkpoints that are read as several lines. A worker may send any text; the
+     * next leader must be able to read it and resume the run from exactly that checkpoint.
      */
     @Test(dataProvider = "checkpoints")
     public void keepsAnyCheckpoint(String checkpoint) {
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Workers crashed under a task, and then the leader dies. The next one knows of these crashes;
-     * counted anew by each leader they would never end.
+     * Guards against counts of crashes that are lost at a change of leaders. If each leader counted
+     * anew, a task that crashes its workers would never be stopped.
      */
     @Test
     public void keepsCrashes() {
@@ -67,7 +67,10 @@
       assertEquals(List.of(restored.crashes, restored.blamed), List.of(3, 1));
     }
 
-    /** Guards against a leader that takes a restarted worker for the life a task was placed on. */
+    /**
+     * Guards against a leader that takes a restarted worker for the incarnation that a task was
+     * placed on.
+     */
     @Test(dataProvider = "crashes")
     public void keepsIncarnationOfWorker(int crashes) {
       Job job = job();
@@ -82,7 +85,7 @@
       assertEquals(restored.crashes, crashes);
     }
 
-    /** Guards against copies of a start that the next leader does not know of. */
+    /** Guards against duplicate starts that the next leader does not know of. */
     @Test(dataProvider = "crashes")
     public void keepsThatDuplicateStartsMayCome(int crashes) {
       Job job = job();
@@ -98,7 +101,7 @@
       assertEquals(restored.crashes, crashes);
     }
 
-    /** Guards against jobs that an earlier version leaves alone: it reads this as the number 5. */
+    /** Guards against jobs that an earlier version leaves alone: it reads "+5" as the number 5. */
     @Test
     public void marksPossibleDuplicatesBySignOfStartTime() {
       Job job = job();
@@ -109,13 +112,16 @@
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w  +5");
     }
 
-    /** Counts of crashes, none among them. */
+    /** Counts of crashes, including none. */
     @DataProvider
     public Object[][] crashes() {
       return new Object[][] {{0}, {2}};
     }
 
-    /** A version that knows no crashes leads as well during a rolling replacement. */
+    /**
+     * Guards against lines that an earlier version cannot read. A version without counts of crashes
+     * leads in turn with this one during a rolling replacement.
+     */
     @Test
     public void writesWhatEarlierVersionsReadWhereNothingCrashed() {
       Job job = job();
--- a/core/src/test/java/org/cottontack/core/job/Replay.java
+++ b/core/src/test/java/org/cottontack/core/job/Replay.java
@@ -17,7 +17,7 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * Plays a load against the decisions of leaders in virtual time, and tells what callers and the
+ * Simulates a load and the decisions of leaders in virtual time, and measures what callers and the
  * users of services get. Orders take 2 ms each way, saves 12 ms. A seed gives the same outcome in
  * any process.
  */
@@ -30,12 +30,15 @@
   private static final long SILENCE_MILLIS = 1_000;
   private static final long TICK_MILLIS = 100;
 
-  /** How long nobody decides at a change of leaders. */
+  /** Time without a leader at a change of leaders. */
   private static final long LEADERLESS_MILLIS = 900;
 
   private static final double LATE_VALUE = 0.15;
 
-  /** Harm by tasks beside counts several times what absence does. */
+  /**
+   * Weight of the time that a service is over its bound beside best-effort tasks, relative to the
+   * time that it does not run.
+   */
   private static final double HARM_FACTOR = 4;
 
   private record Due(long at, long sequence, Runnable action) {}
@@ -88,7 +91,7 @@
     tick();
   }
 
-  /** Begins a term with what is stored. */
+  /** Starts the term of a leader with the stored state. */
   private void startTerm() {
     leader =
         new JobScheduler(
@@ -171,7 +174,7 @@
     post(leader, event);
   }
 
-  /** Tells a leader, if it still leads. */
+  /** Sends an event to a leader, if it still leads. */
   private void post(JobScheduler to, JobEvent event) {
     if (to != null && to == leader) {
       long began = System.nanoTime();
@@ -189,12 +192,12 @@
     effects.forEach(this::execute);
   }
 
-  /** Returns the processor time of all decisions, in nanoseconds; differs from run to run. */
+  /** Returns the elapsed time of all decisions, in nanoseconds. It differs from run to run. */
   long decisionNanos() {
     return decisionNanos;
   }
 
-  /** Plays to the end of the load and five seconds more. */
+  /** Runs to the end of the load and five seconds more. */
   ReplayOutcome run() {
     long end = startMillis + load.shape.lengthMillis() + 5_000;
     while (now < end) {
@@ -347,7 +350,10 @@
         load.workers.stream().mapToDouble(worker -> worker.wasted).sum() / work);
   }
 
-  /** Returns the share of jobs that never ended though three times their objective had passed. */
+  /**
+   * Returns the share of jobs that did not end, of those whose objective has passed three times
+   * over.
+   */
   private double unserved(List<ReplayLoad.Arrival> jobs) {
     return jobs.stream()
         .filter(arrival -> now - startMillis - arrival.millis() > 3 * arrival.objectiveMillis())
@@ -388,7 +394,7 @@
     return owed == 0 ? 1 : earned / owed;
   }
 
-  /** Returns the outcomes of a load drawn from seeds 1 to a number. */
+  /** Returns the outcomes of a load for the seeds 1 to a number. */
   static List<ReplayOutcome> all(ReplayShape shape, ReplayPolicy policy, int seeds) {
     return LongStream.rangeClosed(1, seeds)
         .parallel()
@@ -396,7 +402,7 @@
         .toList();
   }
 
-  /** Returns the mean outcome of a load drawn from seeds 1 to a number. */
+  /** Returns the mean outcome of a load for the seeds 1 to a number. */
   static ReplayOutcome mean(ReplayShape shape, int seeds) {
     return ReplayOutcome.mean(all(shape, ReplayPolicy.STANDING, seeds));
   }
--- a/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
@@ -10,8 +10,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The load of a replay as data, drawn from a seed: a fleet that services fill to a given share,
- * jobs of short tasks and of tasks that fill, and how much each filling image slows each serving
+ * The load of a replay as data, drawn from a seed: a fleet on which services reserve a given share,
+ * jobs of short tasks and best-effort jobs, and how much each best-effort image slows each serving
  * one.
  */
 final class ReplayLoad {
@@ -31,23 +31,23 @@
   /** Speed of slow workers. */
   private static final double SLOW_SPEED = 1 / 3.0;
 
-  /** Share of the phases of a task that fills in which it disturbs its neighbours much. */
+  /** Share of the phases of a best-effort task in which it disturbs its neighbours much. */
   static final double HEAVY_PHASES = 0.6;
 
-  /** Mean length of such a phase. */
+  /** Mean length of a phase, in milliseconds. */
   static final double PHASE_MILLIS = 2_500;
 
-  /** How much it disturbs in the other phases. */
+  /** Activity in the other phases, relative to 1 in the phases that disturb much. */
   static final double LIGHT_ACTIVITY = 0.15;
 
   /** Bound of a service's tail, as a multiple of the tail at rest. */
   static final double BOUND_TO_BASE = 5;
 
   /**
-   * The users of one service: their load swings, for all its tasks alike.
+   * The users of one service. Their load swings, for all its tasks alike.
    *
    * @param mean share of its reservation that it uses on average
-   * @param phase where in its swing it is at first, in radians
+   * @param phase initial phase of the swing, in radians
    */
   record Service(double mean, double phase) {
     private static final double SWING = 0.5;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** A job that arrives, with what its tasks will really take. */
+  /** A job that arrives, with the true durations of its tasks. */
   record Arrival(long millis, JobSpec job, List<double[]> workMillis) {
 
     double work() {
@@ -71,7 +71,7 @@
       return work;
     }
 
-    /** Returns the objective by what the work really takes, in milliseconds. */
+    /** Returns the objective that follows from the true durations, in milliseconds. */
     double objectiveMillis() {
       double chain = workMillis.stream().mapToDouble(w -> Arrays.stream(w).max().orElse(0)).sum();
       return job.queue().stretch() * chain + job.queue().targetMillis();
@@ -109,12 +109,15 @@
     return TARGET_MILLIS / BOUND_TO_BASE;
   }
 
-  /** Returns by how much an image beside a serving one lengthens its responses, for each share. */
+  /**
+   * Returns by how much a best-effort image lengthens the responses of a serving one, per share of
+   * the processors.
+   */
   double weight(String serving, String bestEffort) {
     return weights.getOrDefault(serving + "/" + bestEffort, 0.0);
   }
 
-  /** Returns the share of the filling images that weigh less beside a serving one. */
+  /** Returns the share of the best-effort images that weigh less than this beside a serving one. */
   double tolerance(String serving, double weight) {
     return IntStream.range(0, BEST_EFFORT_IMAGES)
             .filter(bestEffort -> weight(serving, "f" + bestEffort) < weight)
@@ -169,7 +172,7 @@
     return new JobSpec(id, queue, "payload", steps, JobSpec.Schedule.AT_ONCE);
   }
 
-  /** Some workers are slow, others fail what they start; the first ones may be lost. */
+  /** Makes some workers slow and lets others fail what they start. */
   private void drawTroubles() {
     int slow = (int) Math.round(shape.troubles().slow() * workers.size());
     int failing = (int) Math.round(shape.troubles().failing() * workers.size());
@@ -211,7 +214,9 @@
         millis, new JobId("fill" + n), BEST_EFFORT, steps, work, new Spreads(0.6, 0.3), image);
   }
 
-  /** Spreads of a step's width and of what its tasks ask for, as deviations of logarithms. */
+  /**
+   * Spreads of a step's width and of what its tasks ask for, as standard deviations of logarithms.
+   */
   private record Spreads(double width, double cpu) {}
 
   private Arrival arrival(
--- a/core/src/test/java/org/cottontack/core/job/ReplayOutcome.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayOutcome.java
@@ -5,17 +5,18 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What came of a replay, as shares of what could be had.
+ * The outcome of a replay, as shares of what was possible.
  *
- * @param serving of the time that services asked for, harm by what fills counted four times
- * @param bestEffort of the value of jobs that fill
- * @param largestBestEffort of the value of the largest tenth of these
- * @param shorts of the value of jobs of short tasks
- * @param largestShorts of the value of the largest tenth of these
- * @param unserved share of all jobs that end that never did
- * @param over serving tasks over their bound on average
- * @param moves runs that were stopped
- * @param paces orders on pace
+ * @param serving share of the time that services asked for, with harm by best-effort tasks counted
+ *     four times
+ * @param bestEffort share of the value of best-effort jobs
+ * @param largestBestEffort share of the value of the largest tenth of these
+ * @param shorts share of the value of jobs of short tasks
+ * @param largestShorts share of the value of the largest tenth of these
+ * @param unserved share of the jobs that are to end and never did
+ * @param over mean number of serving tasks over their bound
+ * @param moves number of runs that were stopped
+ * @param paces number of pace orders
  * @param wasted work of runs that was thrown away, as a share of the work of all jobs
  */
 record ReplayOutcome(
@@ -33,7 +34,7 @@
   /**
    * A figure of an outcome.
    *
-   * @param title for tables
+   * @param title heading in tables
    * @param of how it is taken from an outcome
    */
   record Figure(String title, ToDoubleFunction<ReplayOutcome> of) {
@@ -55,10 +56,10 @@
     }
   }
 
-  /** Weights of services, of jobs that fill and of short ones in the whole. */
+  /** Weights of services, best-effort jobs and short jobs in {@link #worth()}. */
   private static final double[] WEIGHTS = {0.35, 0.55, 0.10};
 
-  /** What a table shows. */
+  /** The figures that a table shows. */
   static final List<Figure> FIGURES =
       List.of(
           new Figure("worth", ReplayOutcome::worth),
@@ -97,7 +98,7 @@
     return all.stream().mapToDouble(of).average().orElse(0);
   }
 
-  /** Returns the whole as one figure. */
+  /** Returns the weighted sum of the shares of services, best-effort jobs and short jobs. */
   double worth() {
     return WEIGHTS[0] * serving + WEIGHTS[1] * bestEffort + WEIGHTS[2] * shorts;
   }
--- a/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
@@ -2,12 +2,14 @@
 
 import java.util.stream.Stream;
 
-/** Who decides in a replay: the decisions as they are, or with some of them replaced. */
+/**
+ * The policy of the leaders in a replay: the real decisions, or with some of their inputs replaced.
+ */
 enum ReplayPolicy {
-  /** The decisions in force. */
+  /** The decisions of the scheduler as it is. */
   STANDING,
 
-  /** Knows which images harm which, and how the load of each service goes on. */
+  /** Knows the effect of each pair of images and the future load of each service. */
   KNOWN_PAIRS {
     @Override
     Interference interference(ReplayLoad load) {
@@ -23,7 +25,7 @@
     }
   },
 
-  /** Knows both. */
+  /** Knows both pairs and durations. */
   ORACLE {
     @Override
     Interference interference(ReplayLoad load) {
@@ -36,7 +38,7 @@
     }
   },
 
-  /** Lets nothing fill beside services, as long as the fleet is not roomy. */
+  /** Runs no best-effort tasks beside services, unless little of the fleet is reserved. */
   FILL_NOTHING {
     @Override
     Interference interference(ReplayLoad load) {
@@ -44,7 +46,7 @@
     }
   },
 
-  /** Lets everything fill beside everything. */
+  /** Runs best-effort tasks beside everything. */
   FILL_EVERYTHING {
     @Override
     Interference interference(ReplayLoad load) {
@@ -52,7 +54,7 @@
     }
   };
 
-  /** Returns what the leader knows at first of how tasks slow each other. */
+  /** Returns the interference estimates that a leader starts with. */
   Interference interference(ReplayLoad load) {
     return new LearnedInterference();
   }
@@ -62,10 +64,10 @@
     return false;
   }
 
-  /** Knows everything of a load but the phases of tasks that fill. */
+  /** Knows everything of a load except the phases of best-effort tasks. */
   private record KnownInterference(ReplayLoad load) implements Interference {
 
-    /** Tails are the bound at this headroom; at rest a service has as much as this. */
+    /** Headroom of a service at rest: its tail is the bound divided by this. */
     private static final double MOST_HEADROOM = ReplayLoad.BOUND_TO_BASE;
 
     private static final double MILD = 0.5;
@@ -106,7 +108,7 @@
     public void restore(Pair pair) {}
   }
 
-  /** Believes the same of all pairs at all times. */
+  /** Assumes the same for all pairs at all times. */
   private record Fixed(double effect, double headroom) implements Interference {
 
     @Override
--- a/core/src/test/java/org/cottontack/core/job/ReplayShape.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayShape.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What differs between replays, as data.
+ * The parameters of a replay.
  *
- * @param name for tables
- * @param seed what is drawn from it
- * @param workers how many; two thirds have 32 cores, the others 48
+ * @param name heading in tables
+ * @param seed seed that the load is drawn from
+ * @param workers number of workers; two thirds have 32 cores, the others 48
  * @param reserved share of the processors that services reserve
  * @param used share of its reservation that a service uses on average
  * @param harmful share of pairs of images that do harm
  * @param shorts jobs of short tasks
- * @param bestEffort jobs of tasks that fill
- * @param troubles what goes wrong
- * @param lengthMillis how long jobs come
+ * @param bestEffort jobs of best-effort tasks
+ * @param troubles faults and bursts
+ * @param lengthMillis time during which jobs arrive
  */
 record ReplayShape(
     String name,
@@ -31,11 +31,11 @@
   /**
    * Jobs of one kind.
    *
-   * @param perSecond how many come
-   * @param width tasks of a step, on average
-   * @param widest most tasks of a step
+   * @param perSecond arrivals per second
+   * @param width mean number of tasks of a step
+   * @param widest largest number of tasks of a step
    * @param cpuMillis what a task asks for, in thousandths of a core
-   * @param workMillis how long it works
+   * @param workMillis duration of a task
    */
   record Work(double perSecond, double width, double widest, double cpuMillis, double workMillis) {
 
@@ -45,14 +45,14 @@
   }
 
   /**
-   * What goes wrong.
+   * Faults and bursts.
    *
-   * @param burst by how much more jobs that fill come for six seconds
-   * @param lostWorkers how many are gone after a quarter of the time
+   * @param burst factor on the arrivals of best-effort jobs for six seconds
+   * @param lostWorkers number of workers that are lost after a quarter of the time
    * @param slow share of the workers that run everything at a third of the speed
-   * @param failing share of the workers that fail all that they start
+   * @param failing share of the workers that fail everything that they start
    * @param takeoverMillis time between two changes of leaders; 0 for none
-   * @param storeOutageMillis for how long the store is away after half of the time
+   * @param storeOutageMillis how long the store is unavailable after half of the time
    */
   record Troubles(
       double burst,
@@ -89,7 +89,7 @@
 
   private static final long LENGTH_MILLIS = 40_000;
 
-  /** Services that reserve most of the fleet beside short jobs and narrow jobs that fill. */
+  /** Services that reserve most of the fleet beside short jobs and narrow best-effort jobs. */
   static ReplayShape usual() {
     return new ReplayShape(
         "usual",
@@ -104,7 +104,7 @@
         LENGTH_MILLIS);
   }
 
-  /** Wide jobs that fill, which alone ask for four fifths of what services leave unused. */
+  /** Wide best-effort jobs, which alone ask for four fifths of what services leave unused. */
   static ReplayShape wide() {
     return new ReplayShape(
         "wide",
@@ -120,8 +120,9 @@
   }
 
   /**
-   * Half as much again as there is room for, beside services of which nearly all are harmed by most
-   * that fills, and a burst: most runs are slowed, and a third is stopped and moved.
+   * One and a half times as much work as the free capacity, beside services of which nearly all are
+   * harmed by most best-effort images, and a burst: most runs are slowed, and a third is stopped
+   * and moved.
    */
   static ReplayShape overloaded() {
     return wide()
@@ -132,7 +133,7 @@
         .with(Troubles.FEW.bursting(2));
   }
 
-  /** Large short tasks beside very wide jobs that fill. */
+  /** Large short tasks beside very wide best-effort jobs. */
   static ReplayShape large() {
     return new ReplayShape(
         "large",
@@ -235,7 +236,7 @@
         lengthMillis);
   }
 
-  /** Returns the same with fewer workers, as much less work, and a shorter time. */
+  /** Returns the same with fewer workers, proportionally less work, and a shorter time. */
   ReplayShape small(int fewer, long millis) {
     double share = fewer / (double) workers;
     return new ReplayShape(
--- a/core/src/test/java/org/cottontack/core/job/ReplayTable.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayTable.java
@@ -5,18 +5,19 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Prints what loads and policies give, with 95 % intervals over seeds. */
+/** Prints the outcomes of loads under policies, with 95 % intervals over seeds. */
 final class ReplayTable {
 
-  /** System property: whether the worth of each seed is printed too, for pairs. */
+  /** System property: whether the worth of each seed is printed too, for paired comparisons. */
   private static final String EACH = "replay.each";
 
   private ReplayTable() {}
 
   /**
-   * Plays and prints.
+   * Runs the replays and prints the table.
    *
-   * @param args number of seeds, then, if any, words that the names of loads must hold and policies
+   * @param args number of seeds; then, optionally, a text that the names of the loads must contain,
+   *     and names of policies
    */
   public static void main(String[] args) {
     int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 5;
--- a/core/src/test/java/org/cottontack/core/job/ReplayTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayTest.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of the replays themselves: what they are worth as a measure. */
+/**
+ * Tests of the replays themselves: whether their outcomes are reproducible and useful as a measure.
+ */
 public class ReplayTest {
 
   private static final ReplayShape SMALL =
@@ -18,7 +20,7 @@
           .small(12, 8_000)
           .seeded(7);
 
-  /** Plays a load in a process of its own. */
+  /** Runs a replay in a process of its own. */
   public static final class Child {
 
     private Child() {}
@@ -29,10 +31,10 @@
     }
   }
 
-  /** One seed. */
+  /** Several runs with one seed. */
   public static class Repeating {
 
-    private static String play() throws IOException, InterruptedException {
+    private static String runInChild() throws IOException, InterruptedException {
       Path java = Path.of(System.getProperty("java.home"), "bin", "java");
       Process child =
           new ProcessBuilder(
@@ -47,12 +49,12 @@
       return out;
     }
 
-    /** Guards against decisions that go by the order of a collection that has none. */
+    /** Guards against decisions that depend on the order of an unordered collection. */
     @Test
     public void givesOneOutcomeInAnyProcess() throws Exception {
-      String first = play();
+      String first = runInChild();
       assertTrue(first.startsWith("serving"), first);
-      assertEquals(List.of(play(), play(), play()), List.of(first, first, first));
+      assertEquals(List.of(runInChild(), runInChild(), runInChild()), List.of(first, first, first));
     }
   }
 
@@ -66,7 +68,7 @@
       return ReplayOutcome.mean(Replay.all(shape, policy, SEEDS));
     }
 
-    /** Guards against a measure that cannot tell a good policy from a bad one. */
+    /** Guards against a measure that cannot distinguish a good policy from a bad one. */
     @Test
     public void ranksKnownPolicies() {
       ReplayOutcome oracle = mean(ReplayPolicy.ORACLE);
--- a/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
@@ -10,17 +10,17 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A worker of a replay: tasks that serve use a share of their reservation that follows the load of
- * their service, tasks that fill share what is left, and slow the tails of those that serve. A tail
- * is that of a queue: {@code base * k / (1 - load * k)}, where {@code k} is by how much the tasks
- * beside it lengthen each response.
+ * A worker of a replay. Serving tasks use a share of their reservation that follows the load of
+ * their service. Best-effort tasks share what is left and slow the tails of serving tasks. A tail
+ * is that of a queue: {@code base * k / (1 - load * k)}, where {@code k} is the factor by which the
+ * tasks beside it lengthen each response.
  */
 final class ReplayWorker {
 
-  /** Tails are reported as the mean of the last half second. */
+  /** Number of steps in the last half second; the mean over these is reported. */
   private static final int WINDOW_STEPS = 500 / (int) Replay.STEP_MILLIS;
 
-  /** A tail that grows without bound is reported as this many milliseconds. */
+  /** Tail reported for a queue that grows without bound, in milliseconds. */
   private static final double LONGEST_TAIL = 10_000;
 
   /** Standard deviation of the logarithm of a reported tail. */
@@ -29,13 +29,13 @@
   private static final long FAILS_AFTER_MILLIS = 150;
   private static final long STARTUP_MILLIS = 500;
 
-  /** Work between two checkpoints; a stop makes one as well. */
+  /** Work between two checkpoints, in milliseconds; a stop makes one as well. */
   private static final long SAVED_MILLIS = 2_000;
 
-  /** How long a run that goes on from a checkpoint takes to begin. */
+  /** Time until a run that resumes from a checkpoint begins to work. */
   private static final long RESTORE_MILLIS = 100;
 
-  /** A task on this worker. */
+  /** A run on this worker. */
   static final class Running {
     final RunKey run;
     final StepSpec spec;
@@ -70,7 +70,10 @@
       this.phases = new Random(run.task().toString().hashCode() + 31L * run.run());
     }
 
-    /** Returns by how much a task that fills disturbs now: it works by phases of some seconds. */
+    /**
+     * Returns how much a best-effort task disturbs others now, from 0 to 1. Its work has phases of
+     * some seconds.
+     */
     double activity(long now) {
       if (now >= phaseEndMillis) {
         heavy = phases.nextDouble() < ReplayLoad.HEAVY_PHASES;
@@ -98,13 +101,13 @@
   final WorkerInfo info;
   final Map<RunKey, Running> running = new HashMap<>();
 
-  /** How fast tasks run here; 1 is the usual speed. */
+  /** Speed of tasks here; 1 is the usual speed. */
   double speed = 1;
 
-  /** Whether all that is started here and ends fails soon. */
+  /** Whether every run here that is not long-running fails soon after its start. */
   boolean failsAll;
 
-  /** Work thrown away by stops, in thousandths of a core times milliseconds. */
+  /** Work thrown away by stops and failures, in thousandths of a core times milliseconds. */
   double wasted;
 
   private final ReplayLoad load;
@@ -184,7 +187,7 @@
     return (int) Math.min(99, 100 * run.doneMillis / run.workMillis);
   }
 
-  /** Lets one step of time pass. */
+  /** Advances the worker by one step of time. */
   void advance(long now) {
     double left = info.capacity().cpuMillis() - reservedUse(now);
     double wanted =
