--- a/core/src/main/java/org/cottontack/core/job/LearnedText.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedText.java
@@ -15,45 +15,51 @@
 
 /**
  * The stored form of what a leader has learned: one line for each queue, each pair of images and
- * each life of a worker that may hide ends, was sent acknowledgements of ends or has held ones. A
- * new leader that starts without it tries harmful pairs all over again. Names are escaped, since
- * callers choose those of images.
+ * each incarnation of a worker that may have suppressed completions, was sent acknowledgements of
+ * completions or has deferred acknowledgements. A new leader that starts without it would try
+ * harmful pairs all over again. Names are escaped, because callers choose those of images.
  */
 final class LearnedText {
 
-  /** Size up to which it is written, in bytes: half of the smallest row the store takes. */
+  /** Size limit of the text, in bytes: half of the smallest row that the store accepts. */
   static final int MOST_BYTES = 32_000;
 
-  /** Weights of headroom; lines that begin with "pair" hold others, which mean nothing here. */
+  /**
+   * Lines of weights of headroom. Lines that begin with "pair" hold other weights, which have no
+   * meaning here.
+   */
   private static final String PAIR = "headroom";
 
   private static final int PAIR_FIELDS = 5;
   private static final String QUEUE = "queue";
   private static final int QUEUE_FIELDS = 8;
 
-  /** A life that may never list some of its ends. */
-  private static final String HIDES = "hides";
+  /** Lines of incarnations that may never list some of their completions. */
+  private static final String SUPPRESSED = "hides";
 
-  /** A life to which ends were acknowledged. */
+  /** Lines of incarnations to which completions were acknowledged. */
   private static final String ACKNOWLEDGED = "acknowledged";
 
-  private static final int LIFE_FIELDS = 3;
+  private static final int INCARNATION_FIELDS = 3;
 
-  /** A life with held ends, and the lowest number of these. */
-  private static final String HELD = "held";
+  /**
+   * Lines of incarnations with deferred acknowledgements, and the lowest completion number of
+   * these.
+   */
+  private static final String DEFERRED = "held";
 
-  private static final int HELD_FIELDS = LIFE_FIELDS + 1;
+  private static final int DEFERRED_FIELDS = INCARNATION_FIELDS + 1;
 
-  /** Size that lives leave to queues and pairs, in bytes. */
+  /** Size that incarnations leave to queues and pairs, in bytes. */
   private static final int LEARNED_BYTES = 8_000;
 
   /**
    * A text that was written.
    *
-   * @param livesCut how many lives found no place in it
-   * @param learnedCut how many queues and pairs found none
+   * @param incarnationsCut how many incarnations did not fit into it
+   * @param learnedCut how many queues and pairs did not fit
    */
-  record Written(String text, int livesCut, int learnedCut) {}
+  record Written(String text, int incarnationsCut, int learnedCut) {}
 
   private final Interference interference;
   private final DurationEstimates estimates;
@@ -64,29 +70,35 @@
   }
 
   /**
-   * Returns the text. Where it grows large, the last of the lives that hide ends and the pairs that
-   * were not heard of for longest are left out.
+   * Returns the text. If it would exceed the size limit, the last of the incarnations with
+   * suppressed completions and the pairs reported longest ago are left out.
    */
   Written write(
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     List<String> pairs = interference.pairs().map(LearnedText::line).toList();
     List<String> learned =
         Stream.concat(estimates.queues().map(LearnedText::line), reversed(pairs).stream()).toList();
-    List<String> lives =
+    List<String> incarnations =
         Stream.of(
-                held.entrySet().stream()
-                    .map(entry -> lifeLine(HELD, entry.getKey()) + " " + entry.getValue()),
-                acknowledged.stream().map(life -> lifeLine(ACKNOWLEDGED, life)),
-                hiding.stream().map(life -> lifeLine(HIDES, life)))
+                deferred.entrySet().stream()
+                    .map(
+                        entry ->
+                            incarnationLine(DEFERRED, entry.getKey()) + " " + entry.getValue()),
+                acknowledged.stream()
+                    .map(incarnation -> incarnationLine(ACKNOWLEDGED, incarnation)),
+                suppressed.stream().map(incarnation -> incarnationLine(SUPPRESSED, incarnation)))
             .flatMap(lines -> lines)
             .toList();
-    List<String> keptLives = first(lives, MOST_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
-    List<String> keptLearned = first(learned, MOST_BYTES - bytes(keptLives));
+    List<String> keptIncarnations =
+        first(incarnations, MOST_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
+    List<String> keptLearned = first(learned, MOST_BYTES - bytes(keptIncarnations));
     String text =
-        Stream.concat(keptLives.stream(), keptLearned.stream()).collect(Collectors.joining("\n"));
-    return new Written(text, lives.size() - keptLives.size(), learned.size() - keptLearned.size());
+        Stream.concat(keptIncarnations.stream(), keptLearned.stream())
+            .collect(Collectors.joining("\n"));
+    return new Written(
+        text, incarnations.size() - keptIncarnations.size(), learned.size() - keptLearned.size());
   }
 
   private static List<String> first(List<String> lines, int mostBytes) {
@@ -104,11 +116,12 @@
     return reversed;
   }
 
-  private static String lifeLine(String what, WorkerIncarnation life) {
-    return String.join(" ", what, escape(life.worker().value()), "" + life.startTimeMillis());
+  private static String incarnationLine(String kind, WorkerIncarnation incarnation) {
+    return String.join(
+        " ", kind, escape(incarnation.worker().value()), "" + incarnation.startTimeMillis());
   }
 
-  private static WorkerIncarnation life(String[] fields) {
+  private static WorkerIncarnation incarnation(String[] fields) {
     return new WorkerIncarnation(new WorkerId(unescape(fields[1])), Long.parseLong(fields[2]));
   }
 
@@ -138,48 +151,52 @@
   }
 
   /**
-   * Reads a text back. Lines of another version of this program are skipped: it leads in turn with
-   * this one during a rolling replacement, and a leader that fails at the start of each term would
-   * let all jobs stand still.
+   * Reads a text back. Lines of another version of this program are skipped: that version leads in
+   * turn with this one during a rolling replacement, and a leader that fails at the start of each
+   * term would leave all jobs without progress.
    *
-   * @param hiding takes the lives that may never list some ends
-   * @param acknowledged takes those to which ends were acknowledged
-   * @param held takes the lowest number that is held on each life with held ends
+   * @param suppressed receives the incarnations that may never list some completions
+   * @param acknowledged receives those to which completions were acknowledged
+   * @param deferred receives the lowest number of a deferred acknowledgement for each incarnation
+   *     that has some
    * @return how many lines were skipped
    */
   long restore(
       String text,
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     List<String> lines = text.lines().toList();
-    return lines.stream().filter(line -> !read(line, hiding, acknowledged, held)).count();
+    return lines.stream().filter(line -> !read(line, suppressed, acknowledged, deferred)).count();
   }
 
-  /** Returns the lives to which ends were acknowledged, by a text that {@link #write} returned. */
+  /**
+   * Returns the incarnations to which completions were acknowledged, from a text that {@link
+   * #write} returned.
+   */
   static Set<WorkerIncarnation> acknowledged(String text) {
     return text.lines()
         .map(line -> line.split(" ", -1))
         .filter(fields -> fields[0].equals(ACKNOWLEDGED))
-        .map(LearnedText::life)
+        .map(LearnedText::incarnation)
         .collect(Collectors.toSet());
   }
 
   private boolean read(
       String line,
-      Set<WorkerIncarnation> hiding,
+      Set<WorkerIncarnation> suppressed,
       Set<WorkerIncarnation> acknowledged,
-      Map<WorkerIncarnation, Long> held) {
+      Map<WorkerIncarnation, Long> deferred) {
     String[] fields = line.split(" ", -1);
     try {
-      if (fields[0].equals(HIDES) && fields.length == LIFE_FIELDS) {
-        return hiding.add(life(fields));
+      if (fields[0].equals(SUPPRESSED) && fields.length == INCARNATION_FIELDS) {
+        return suppressed.add(incarnation(fields));
       }
-      if (fields[0].equals(ACKNOWLEDGED) && fields.length == LIFE_FIELDS) {
-        return acknowledged.add(life(fields));
+      if (fields[0].equals(ACKNOWLEDGED) && fields.length == INCARNATION_FIELDS) {
+        return acknowledged.add(incarnation(fields));
       }
-      if (fields[0].equals(HELD) && fields.length == HELD_FIELDS) {
-        held.put(life(fields), Long.parseLong(fields[LIFE_FIELDS]));
+      if (fields[0].equals(DEFERRED) && fields.length == DEFERRED_FIELDS) {
+        deferred.put(incarnation(fields), Long.parseLong(fields[INCARNATION_FIELDS]));
         return true;
       }
       if (fields[0].equals(PAIR) && fields.length == PAIR_FIELDS) {
@@ -210,7 +227,7 @@
   private static double number(String text) {
     double number = Double.parseDouble(text);
     if (!Double.isFinite(number)) {
-      throw new IllegalArgumentException("not a number: " + text);
+      throw new IllegalArgumentException("not a finite number: " + text);
     }
     return number;
   }
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -27,7 +27,7 @@
       return;
     }
     Job job = new Job(spec, term.now.mono(), term.ignoredStarts);
-    estimates.arrived(spec.queue(), urgency.work(spec));
+    estimates.recordArrival(spec.queue(), urgency.work(spec));
     open(job);
     term.logEvent("job.taken", spec.id(), describe(spec));
     if (cancelledBeforeArrival.remove(spec.id())) {
--- a/core/src/main/java/org/cottontack/core/job/Urgency.java
+++ b/core/src/main/java/org/cottontack/core/job/Urgency.java
@@ -123,7 +123,7 @@
     JobQueue queue = job.spec.queue();
     double slackShare =
         Math.max(0, objectiveMillis - completionMillis) / (double) Math.max(1, objectiveMillis);
-    double relative = estimates.relative(queue, work(job.spec));
+    double relative = estimates.relativeWork(queue, work(job.spec));
     double value = Math.min(MAX_JOB_VALUE, FIXED_JOB_VALUE + (1 - FIXED_JOB_VALUE) * relative);
     double work = Math.max(MIN_REMAINING_WORK, remainingWork(job));
     return value
--- a/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerSelector.java
@@ -177,11 +177,11 @@
       Worker worker,
       boolean dataLocal,
       boolean notFailedHere) {
-    if (contention.alarmed()
-        || contention.leftover() < MIN_IDLE_SHARE * task.spec.need().cpuMillis()) {
+    if (contention.overBound()
+        || contention.leftoverCpu() < MIN_IDLE_SHARE * task.spec.need().cpuMillis()) {
       return Optional.empty();
     }
-    double headroomUse = contention.strainJoined(worker, task, interference);
+    double headroomUse = contention.headroomUseWith(worker, task, interference);
     if (headroomUse > MAX_HEADROOM_USE && !mayIgnoreContention(task.job, queue)) {
       return Optional.empty();
     }
@@ -194,7 +194,7 @@
             dataLocal,
             notFailedHere,
             affinity,
-            contention.leftover()));
+            contention.leftoverCpu()));
   }
 
   private static boolean reportsAllCompletions(Worker worker) {
--- a/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of declared durations and their correction. */
+/** Tests of the correction of declared durations. */
 public class DurationEstimatesTest {
 
   private static final JobQueue QUEUE =
@@ -22,7 +22,7 @@
     return TestStep.tasks(1).estimate(estimateMillis).of();
   }
 
-  private static DurationEstimates taught(double spread) {
+  private static DurationEstimates trained(double spread) {
     DurationEstimates estimates = new DurationEstimates();
     Random random = new Random(7);
     IntStream.range(0, 400)
@@ -44,7 +44,10 @@
       assertEquals(new DurationEstimates().millis(QUEUE, step(700)), 700);
     }
 
-    /** Spread of declared times, a declared time, and the range that the true one lies in. */
+    /**
+     * Spread of declared durations, a declared duration, and the range that the estimate must lie
+     * in.
+     */
     @DataProvider
     public Object[][] declared() {
       return new Object[][] {
@@ -56,23 +59,24 @@
     }
 
     @Test(dataProvider = "declared")
-    public void countsDeclaredTimesAsMuchAsTheyHaveTold(
+    public void weighsDeclaredTimesByTheirPastAccuracy(
         double spread, long declared, long least, long most) {
-      long millis = taught(spread).millis(QUEUE, step(declared));
+      long millis = trained(spread).millis(QUEUE, step(declared));
       assertTrue(millis >= least && millis <= most, "estimated " + millis);
     }
   }
 
-  /** What the next leader starts with. */
+  /** Estimates after a change of leaders. */
   public static class Storing {
 
     /**
-     * Calling for a place right after a change of leaders, a caller would be judged by declared
-     * times again, and jobs that cannot be in time would go before those that can.
+     * Guards against estimates that are lost at a change of leaders. Callers would then be judged
+     * by their declared durations again, and jobs that cannot meet their objective would be placed
+     * before those that can.
      */
     @Test
     public void survivesTakeover() {
-      LearnedText old = new LearnedText(new LearnedInterference(), taught(0.9));
+      LearnedText old = new LearnedText(new LearnedInterference(), trained(0.9));
       DurationEstimates estimates = new DurationEstimates();
       new LearnedText(new LearnedInterference(), estimates)
           .restore(
@@ -80,7 +84,7 @@
               new HashSet<>(),
               new HashSet<>(),
               new HashMap<>());
-      long before = taught(0.9).millis(QUEUE, step(20_000));
+      long before = trained(0.9).millis(QUEUE, step(20_000));
       assertEquals((double) estimates.millis(QUEUE, step(20_000)), (double) before, 30.0);
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.testng.annotations.Test;
 
-/** Tests of what is learned about images that share a worker. */
+/** Tests of the learned interference between images that share a worker. */
 public class InterferenceTest {
 
   private static final double TARGET = TestWorker.TARGET_MILLIS;
 
-  /** A serving task alone has a tail of this share of its bound, so a headroom of 2.5. */
+  /** Tail of a serving task that runs alone, as a share of its bound; this is a headroom of 2.5. */
   private static final double QUIET_SHARE = 0.4;
 
-  /** The time of reports, two a second. */
+  /** Time of the reports, two a second. */
   private static final AtomicLong REPORTS = new AtomicLong(10_000);
 
   private static Task task(String id, String image) {
@@ -34,21 +34,23 @@
     return TestWorker.serving("s", "web");
   }
 
-  private static Task filling(String image) {
+  private static Task bestEffort(String image) {
     return TestWorker.filling("f" + image, image);
   }
 
-  private static double joined(Interference interference, Worker worker, String image) {
-    ContentionSnapshot crowding = worker.contention(interference, 10_000);
-    return crowding.strainJoined(worker, filling(image), interference);
+  private static double headroomUseWith(Interference interference, Worker worker, String image) {
+    ContentionSnapshot snapshot = worker.contention(interference, 10_000);
+    return snapshot.headroomUseWith(worker, bestEffort(image), interference);
   }
 
-  /** Returns the headroom lost by a service at rest whose tail's logarithm grows by a value. */
-  private static double lost(double harm) {
+  /**
+   * Returns the headroom lost by a service at rest when the logarithm of its tail grows by a value.
+   */
+  private static double lostHeadroom(double harm) {
     return (1 - Math.exp(-harm)) / QUIET_SHARE;
   }
 
-  /** A rough report: the tail swings by a third either way. */
+  /** Learns from a noisy report: the tail varies by a third either way. */
   private static void report(Interference interference, Worker worker, double harm, Random random) {
     Task serving = worker.serving().findFirst().orElseThrow();
     double swing = Math.exp(0.3 * random.nextGaussian());
@@ -60,16 +62,17 @@
   public static class Pairs {
 
     /**
-     * Two images fill beside a serving one, and one of them triples its tail. Reports about both
-     * together cannot tell which; then some seconds of reports with the other one alone clear it.
-     * The blame moves to the right one, though nothing new is heard of that.
+     * Guards against harm that stays attributed to a harmless image. Two images run beside a
+     * serving one, and one of them triples its tail. Reports about both together cannot show which
+     * one does. Some seconds of reports with the other one alone clear it, and the harm must then
+     * be attributed to the first one, although no new report shows that one.
      */
     @Test
-    public void blamesTheRightOne() {
+    public void attributesHarmToTheHarmfulImage() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task harmful = filling("harmful");
-      Task harmless = filling("harmless");
+      Task harmful = bestEffort("harmful");
+      Task harmless = bestEffort("harmless");
       Worker both = worker(serving(), harmful, harmless);
       Worker one = worker(serving(), harmless);
       for (int i = 0; i < 20; i++) {
@@ -80,50 +83,51 @@
       }
       Task serving = both.serving().findFirst().orElseThrow();
       double harm = interference.effect(both, serving, harmful);
-      assertTrue(harm > lost(0.75), "harmful: " + harm);
+      assertTrue(harm > lostHeadroom(0.75), "harmful: " + harm);
       double other = interference.effect(both, serving, harmless);
-      assertTrue(other < lost(0.2), "harmless: " + other);
+      assertTrue(other < lostHeadroom(0.2), "harmless: " + other);
     }
 
     @Test
-    public void oneUnknownImageMayTryAndTwoMayNot() {
+    public void admitsOnlyOneUnknownImage() {
       Interference interference = new LearnedInterference();
       Worker alone = worker(serving());
-      assertTrue(joined(interference, alone, "new") < 0.9);
-      Worker tried = worker(serving(), filling("first"));
-      assertTrue(joined(interference, tried, "second") > 0.9);
+      assertTrue(headroomUseWith(interference, alone, "new") < 0.9);
+      Worker tried = worker(serving(), bestEffort("first"));
+      assertTrue(headroomUseWith(interference, tried, "second") > 0.9);
     }
 
     /**
-     * What fills anywhere goes beside the image that hardly anything may join, and leaves the
-     * tolerant one to the images that need it.
+     * Guards against a wrong tolerance. Best-effort tasks that may run anywhere are placed beside
+     * the images that tolerate the fewest others. This leaves tolerant images to the best-effort
+     * tasks that need them.
      */
     @Test
-    public void keepsTolerantPlacesForThoseThatNeedThem() {
+    public void toleranceIsTheShareOfHarmlessImages() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task picky = task("p", "picky");
-      Worker intolerant = worker(picky, filling("harmful"));
-      Worker tolerant = worker(serving(), filling("harmful"), filling("harmless"));
-      Worker both = worker(picky, filling("harmless"));
+      Task intolerant = task("p", "picky");
+      Worker harmfulBeside = worker(intolerant, bestEffort("harmful"));
+      Worker bothBeside = worker(serving(), bestEffort("harmful"), bestEffort("harmless"));
+      Worker harmlessBeside = worker(intolerant, bestEffort("harmless"));
       for (int i = 0; i < 40; i++) {
-        report(interference, intolerant, 1.1, random);
-        report(interference, tolerant, 0, random);
-        report(interference, both, 0, random);
+        report(interference, harmfulBeside, 1.1, random);
+        report(interference, bothBeside, 0, random);
+        report(interference, harmlessBeside, 0, random);
       }
-      assertEquals(interference.tolerance(picky), 0.5);
+      assertEquals(interference.tolerance(intolerant), 0.5);
       assertEquals(interference.tolerance(serving()), 1.0);
     }
 
     /**
-     * The leader changes. Without what the last one has learned the next one would put harmful
-     * pairs together again, and users of the serving tasks would wait.
+     * Guards against weights that are lost at a change of leaders. The next leader would place
+     * harmful pairs together again, and users of the serving tasks would see slow responses.
      */
     @Test
-    public void remembersOverTakeover() {
+    public void keepsWeightsOverTakeover() {
       Interference interference = new LearnedInterference();
       Random random = new Random(5);
-      Task harmful = filling("harmful");
+      Task harmful = bestEffort("harmful");
       Worker worker = worker(serving(), harmful);
       for (int i = 0; i < 20; i++) {
         report(interference, worker, 1.1, random);
@@ -151,12 +155,12 @@
     private static final double HARMFUL = 0.6;
     private static final int SEEDS = 3;
 
-    /** Guards against weights that are mild at rest and harm services at the top of a swing. */
+    /** Guards against weights that are low at rest and harm services at the top of a swing. */
     @Test
-    public void fillsWithoutHarmWhileServicesSwing() {
+    public void runsBestEffortTasksWithoutHarmWhileServiceLoadSwings() {
       ReplayOutcome mean = Replay.mean(ReplayShape.usual().sharing(SERVICES, HARMFUL), SEEDS);
       assertTrue(mean.serving() > 0.9, mean.toString());
-      assertTrue(mean.fills() > 0.8, mean.toString());
+      assertTrue(mean.bestEffort() > 0.8, mean.toString());
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
@@ -2,12 +2,14 @@
 
 import java.util.stream.Stream;
 
-/** Who decides in a replay: the decisions as they are, or with some of them replaced. */
+/**
+ * The policy of the leaders in a replay: the real decisions, or with some of their inputs replaced.
+ */
 enum ReplayPolicy {
-  /** The decisions in force. */
+  /** The decisions of the scheduler as it is. */
   STANDING,
 
-  /** Knows which images harm which, and how the load of each service goes on. */
+  /** Knows the effect of each pair of images and the future load of each service. */
   KNOWN_PAIRS {
     @Override
     Interference interference(ReplayLoad load) {
@@ -18,12 +20,12 @@
   /** Knows how long each task takes, in place of rough estimates. */
   KNOWN_DURATIONS {
     @Override
-    boolean declaresTruly() {
+    boolean declaresTrueDurations() {
       return true;
     }
   },
 
-  /** Knows both. */
+  /** Knows both pairs and durations. */
   ORACLE {
     @Override
     Interference interference(ReplayLoad load) {
@@ -31,12 +33,12 @@
     }
 
     @Override
-    boolean declaresTruly() {
+    boolean declaresTrueDurations() {
       return true;
     }
   },
 
-  /** Lets nothing fill beside services, as long as the fleet is not roomy. */
+  /** Runs no best-effort tasks beside services, unless little of the fleet is reserved. */
   FILL_NOTHING {
     @Override
     Interference interference(ReplayLoad load) {
@@ -44,7 +46,7 @@
     }
   },
 
-  /** Lets everything fill beside everything. */
+  /** Runs best-effort tasks beside everything. */
   FILL_EVERYTHING {
     @Override
     Interference interference(ReplayLoad load) {
@@ -52,20 +54,20 @@
     }
   };
 
-  /** Returns what the leader knows at first of how tasks slow each other. */
+  /** Returns the interference estimates that a leader starts with. */
   Interference interference(ReplayLoad load) {
     return new LearnedInterference();
   }
 
   /** Returns whether callers declare the true durations. */
-  boolean declaresTruly() {
+  boolean declaresTrueDurations() {
     return false;
   }
 
-  /** Knows everything of a load but the phases of tasks that fill. */
+  /** Knows everything of a load except the phases of best-effort tasks. */
   private record KnownInterference(ReplayLoad load) implements Interference {
 
-    /** Tails are the bound at this headroom; at rest a service has as much as this. */
+    /** Headroom of a service at rest: its tail is the bound divided by this. */
     private static final double MOST_HEADROOM = ReplayLoad.BOUND_TO_BASE;
 
     private static final double MILD = 0.5;
@@ -81,18 +83,18 @@
     }
 
     @Override
-    public double effect(Worker worker, Task serving, Task filling) {
-      double weight = load.weight(serving.spec.image(), filling.spec.image());
-      return MOST_HEADROOM * weight * worker.share((double) filling.spec.need().cpuMillis());
+    public double effect(Worker worker, Task serving, Task bestEffort) {
+      double weight = load.weight(serving.spec.image(), bestEffort.spec.image());
+      return MOST_HEADROOM * weight * worker.share((double) bestEffort.spec.need().cpuMillis());
     }
 
     @Override
-    public boolean unknown(Task serving, Task filling) {
+    public boolean unknown(Task serving, Task bestEffort) {
       return false;
     }
 
     @Override
-    public double roomFor(Task serving, long millis) {
+    public double availableHeadroom(Task serving, long millis) {
       double used = load.service(serving.job.spec.id()).load(millis);
       return MOST_HEADROOM * (1 - used) - 1;
     }
@@ -106,8 +108,8 @@
     public void restore(Pair pair) {}
   }
 
-  /** Believes the same of all pairs at all times. */
-  private record Fixed(double effect, double room) implements Interference {
+  /** Assumes the same for all pairs at all times. */
+  private record Fixed(double effect, double headroom) implements Interference {
 
     @Override
     public void learn(Worker worker, long nowMillis) {}
@@ -118,18 +120,18 @@
     }
 
     @Override
-    public double effect(Worker worker, Task serving, Task filling) {
+    public double effect(Worker worker, Task serving, Task bestEffort) {
       return effect;
     }
 
     @Override
-    public boolean unknown(Task serving, Task filling) {
+    public boolean unknown(Task serving, Task bestEffort) {
       return false;
     }
 
     @Override
-    public double roomFor(Task serving, long millis) {
-      return room;
+    public double availableHeadroom(Task serving, long millis) {
+      return headroom;
     }
 
     @Override
--- a/core/src/test/java/org/cottontack/core/job/ReplayShape.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayShape.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What differs between replays, as data.
+ * The parameters of a replay.
  *
- * @param name for tables
- * @param seed what is drawn from it
- * @param workers how many; two thirds have 32 cores, the others 48
+ * @param name heading in tables
+ * @param seed seed that the load is drawn from
+ * @param workers number of workers; two thirds have 32 cores, the others 48
  * @param reserved share of the processors that services reserve
  * @param used share of its reservation that a service uses on average
  * @param harmful share of pairs of images that do harm
  * @param shorts jobs of short tasks
- * @param fills jobs of tasks that fill
- * @param troubles what goes wrong
- * @param lengthMillis how long jobs come
+ * @param bestEffort jobs of best-effort tasks
+ * @param troubles faults and bursts
+ * @param lengthMillis time during which jobs arrive
  */
 record ReplayShape(
     String name,
@@ -24,18 +24,18 @@
     double used,
     double harmful,
     Work shorts,
-    Work fills,
+    Work bestEffort,
     Troubles troubles,
     long lengthMillis) {
 
   /**
    * Jobs of one kind.
    *
-   * @param perSecond how many come
-   * @param width tasks of a step, on average
-   * @param widest most tasks of a step
+   * @param perSecond arrivals per second
+   * @param width mean number of tasks of a step
+   * @param widest largest number of tasks of a step
    * @param cpuMillis what a task asks for, in thousandths of a core
-   * @param workMillis how long it works
+   * @param workMillis duration of a task
    */
   record Work(double perSecond, double width, double widest, double cpuMillis, double workMillis) {
 
@@ -45,14 +45,14 @@
   }
 
   /**
-   * What goes wrong.
+   * Faults and bursts.
    *
-   * @param burst by how much more jobs that fill come for six seconds
-   * @param lostWorkers how many are gone after a quarter of the time
+   * @param burst factor on the arrivals of best-effort jobs for six seconds
+   * @param lostWorkers number of workers that are lost after a quarter of the time
    * @param slow share of the workers that run everything at a third of the speed
-   * @param failing share of the workers that fail all that they start
+   * @param failing share of the workers that fail everything that they start
    * @param takeoverMillis time between two changes of leaders; 0 for none
-   * @param storeMillis for how long the store is away after half of the time
+   * @param storeOutageMillis how long the store is unavailable after half of the time
    */
   record Troubles(
       double burst,
@@ -60,35 +60,36 @@
       double slow,
       double failing,
       long takeoverMillis,
-      long storeMillis) {
+      long storeOutageMillis) {
 
     static final Troubles FEW = new Troubles(1.4, 0, 0, 0, 0, 0);
     static final Troubles MANY = new Troubles(2.0, 3, 0.06, 0.04, 9_000, 1_500);
 
     Troubles bursting(double factor) {
-      return new Troubles(factor, lostWorkers, slow, failing, takeoverMillis, storeMillis);
+      return new Troubles(factor, lostWorkers, slow, failing, takeoverMillis, storeOutageMillis);
     }
 
     Troubles losing(int workers) {
-      return new Troubles(burst, workers, slow, failing, takeoverMillis, storeMillis);
+      return new Troubles(burst, workers, slow, failing, takeoverMillis, storeOutageMillis);
     }
 
     Troubles unsound(double slowShare, double failingShare) {
-      return new Troubles(burst, lostWorkers, slowShare, failingShare, takeoverMillis, storeMillis);
+      return new Troubles(
+          burst, lostWorkers, slowShare, failingShare, takeoverMillis, storeOutageMillis);
     }
 
     Troubles takingOver(long millis) {
-      return new Troubles(burst, lostWorkers, slow, failing, millis, storeMillis);
+      return new Troubles(burst, lostWorkers, slow, failing, millis, storeOutageMillis);
     }
 
-    Troubles storeAway(long millis) {
+    Troubles storeOutage(long millis) {
       return new Troubles(burst, lostWorkers, slow, failing, takeoverMillis, millis);
     }
   }
 
   private static final long LENGTH_MILLIS = 40_000;
 
-  /** Services that reserve most of the fleet beside short jobs and narrow jobs that fill. */
+  /** Services that reserve most of the fleet beside short jobs and narrow best-effort jobs. */
   static ReplayShape usual() {
     return new ReplayShape(
         "usual",
@@ -103,7 +104,7 @@
         LENGTH_MILLIS);
   }
 
-  /** Wide jobs that fill, which alone ask for four fifths of what services leave unused. */
+  /** Wide best-effort jobs, which alone ask for four fifths of what services leave unused. */
   static ReplayShape wide() {
     return new ReplayShape(
         "wide",
@@ -119,19 +120,20 @@
   }
 
   /**
-   * Half as much again as there is room for, beside services of which nearly all are harmed by most
-   * that fills, and a burst: most runs are slowed, and a third is stopped and moved.
+   * One and a half times as much work as the free capacity, beside services of which nearly all are
+   * harmed by most best-effort images, and a burst: most runs are slowed, and a third is stopped
+   * and moved.
    */
   static ReplayShape overloaded() {
     return wide()
         .named("overloaded")
         .sharing(0.8, 0.95)
         .using(0.5)
-        .fillsTimes(1.6)
+        .bestEffortTimes(1.6)
         .with(Troubles.FEW.bursting(2));
   }
 
-  /** Large short tasks beside very wide jobs that fill. */
+  /** Large short tasks beside very wide best-effort jobs. */
   static ReplayShape large() {
     return new ReplayShape(
         "large",
@@ -169,7 +171,7 @@
         usual(),
         usual().named("usual, trouble").with(Troubles.MANY),
         wide(),
-        wide().named("wide, half").fillsTimes(0.5),
+        wide().named("wide, half").bestEffortTimes(0.5),
         wide().named("wide, burst").with(few.bursting(2.6)),
         wide().named("wide, trouble").with(Troubles.MANY),
         harmful,
@@ -178,7 +180,7 @@
         harmful.named("harmful, slow").with(few.unsound(0.06, 0)),
         harmful.named("harmful, failing").with(few.unsound(0, 0.04)),
         harmful.named("harmful, leaders").with(few.takingOver(9_000)),
-        harmful.named("harmful, store").with(few.storeAway(1_500)),
+        harmful.named("harmful, store").with(few.storeOutage(1_500)),
         harmful.named("harmful, trouble").with(Troubles.MANY),
         overloaded(),
         large(),
@@ -187,17 +189,17 @@
 
   ReplayShape using(double share) {
     return new ReplayShape(
-        name, seed, workers, reserved, share, harmful, shorts, fills, troubles, lengthMillis);
+        name, seed, workers, reserved, share, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   ReplayShape named(String other) {
     return new ReplayShape(
-        other, seed, workers, reserved, used, harmful, shorts, fills, troubles, lengthMillis);
+        other, seed, workers, reserved, used, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   ReplayShape seeded(long other) {
     return new ReplayShape(
-        name, other, workers, reserved, used, harmful, shorts, fills, troubles, lengthMillis);
+        name, other, workers, reserved, used, harmful, shorts, bestEffort, troubles, lengthMillis);
   }
 
   /** Returns the same with other shares of reserved processors and of harmful pairs. */
@@ -210,17 +212,17 @@
         used,
         harmfulShare,
         shorts,
-        fills,
+        bestEffort,
         troubles,
         lengthMillis);
   }
 
   ReplayShape with(Troubles other) {
     return new ReplayShape(
-        name, seed, workers, reserved, used, harmful, shorts, fills, other, lengthMillis);
+        name, seed, workers, reserved, used, harmful, shorts, bestEffort, other, lengthMillis);
   }
 
-  ReplayShape fillsTimes(double factor) {
+  ReplayShape bestEffortTimes(double factor) {
     return new ReplayShape(
         name,
         seed,
@@ -229,12 +231,12 @@
         used,
         harmful,
         shorts,
-        fills.times(factor),
+        bestEffort.times(factor),
         troubles,
         lengthMillis);
   }
 
-  /** Returns the same with fewer workers, as much less work, and a shorter time. */
+  /** Returns the same with fewer workers, proportionally less work, and a shorter time. */
   ReplayShape small(int fewer, long millis) {
     double share = fewer / (double) workers;
     return new ReplayShape(
@@ -245,7 +247,7 @@
         used,
         harmful,
         shorts.times(share),
-        fills.times(share),
+        bestEffort.times(share),
         troubles,
         millis);
   }
--- a/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
@@ -10,32 +10,32 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A worker of a replay: tasks that serve use a share of their reservation that follows the load of
- * their service, tasks that fill share what is left, and slow the tails of those that serve. A tail
- * is that of a queue: {@code base * k / (1 - load * k)}, where {@code k} is by how much the tasks
- * beside it lengthen each response.
+ * A worker of a replay. Serving tasks use a share of their reservation that follows the load of
+ * their service. Best-effort tasks share what is left and slow the tails of serving tasks. A tail
+ * is that of a queue: {@code base * k / (1 - load * k)}, where {@code k} is the factor by which the
+ * tasks beside it lengthen each response.
  */
 final class ReplayWorker {
 
-  /** Tails are reported as the mean of the last half second. */
+  /** Number of steps in the last half second; the mean over these is reported. */
   private static final int WINDOW_STEPS = 500 / (int) Replay.STEP_MILLIS;
 
-  /** A tail that grows without bound is reported as this many milliseconds. */
+  /** Tail reported for a queue that grows without bound, in milliseconds. */
   private static final double LONGEST_TAIL = 10_000;
 
   /** Standard deviation of the logarithm of a reported tail. */
-  private static final double ROUGHNESS = 0.12;
+  private static final double TAIL_NOISE = 0.12;
 
   private static final long FAILS_AFTER_MILLIS = 150;
   private static final long STARTUP_MILLIS = 500;
 
-  /** Work between two checkpoints; a stop makes one as well. */
+  /** Work between two checkpoints, in milliseconds; a stop makes one as well. */
   private static final long SAVED_MILLIS = 2_000;
 
-  /** How long a run that goes on from a checkpoint takes to begin. */
+  /** Time until a run that resumes from a checkpoint begins to work. */
   private static final long RESTORE_MILLIS = 100;
 
-  /** A task on this worker. */
+  /** A run on this worker. */
   static final class Running {
     final RunKey run;
     final StepSpec spec;
@@ -70,7 +70,10 @@
       this.phases = new Random(run.task().toString().hashCode() + 31L * run.run());
     }
 
-    /** Returns by how much a task that fills disturbs now: it works by phases of some seconds. */
+    /**
+     * Returns how much a best-effort task disturbs others now, from 0 to 1. Its work has phases of
+     * some seconds.
+     */
     double activity(long now) {
       if (now >= phaseEndMillis) {
         heavy = phases.nextDouble() < ReplayLoad.HEAVY_PHASES;
@@ -98,19 +101,19 @@
   final WorkerInfo info;
   final Map<RunKey, Running> running = new HashMap<>();
 
-  /** How fast tasks run here; 1 is the usual speed. */
+  /** Speed of tasks here; 1 is the usual speed. */
   double speed = 1;
 
-  /** Whether all that is started here and ends fails soon. */
+  /** Whether every run here that is not long-running fails soon after its start. */
   boolean failsAll;
 
-  /** Work thrown away by stops, in thousandths of a core times milliseconds. */
+  /** Work thrown away by stops and failures, in thousandths of a core times milliseconds. */
   double wasted;
 
   private final ReplayLoad load;
-  private final List<WorkerReport.Completion> ended = new ArrayList<>();
+  private final List<WorkerReport.Completion> completions = new ArrayList<>();
   private final Random noise = new Random(5);
-  private long ends;
+  private long completionCount;
 
   ReplayWorker(String id, long cores, String dataCentre, ReplayLoad load) {
     this.load = load;
@@ -146,18 +149,19 @@
     }
   }
 
-  private void end(Running run, WorkerReport.CompletionStatus how) {
-    ends++;
-    ended.add(
-        new WorkerReport.Completion(ends, run.run.task(), run.run.run(), how, run.checkpoint()));
+  private void end(Running run, WorkerReport.CompletionStatus status) {
+    completionCount++;
+    completions.add(
+        new WorkerReport.Completion(
+            completionCount, run.run.task(), run.run.run(), status, run.checkpoint()));
   }
 
-  boolean hasEnds() {
-    return !ended.isEmpty();
+  boolean hasCompletions() {
+    return !completions.isEmpty();
   }
 
   WorkerReport report(long acknowledged, long now) {
-    ended.removeIf(end -> end.number() <= acknowledged);
+    completions.removeIf(completion -> completion.number() <= acknowledged);
     List<WorkerReport.Running> list =
         running.values().stream()
             .map(
@@ -167,13 +171,13 @@
                         run.run.run(),
                         run.checkpoint(),
                         progress(run, now),
-                        run.spec.serves() ? Math.round(rough(run.mean())) : run.mean()))
+                        run.spec.serves() ? Math.round(withNoise(run.mean())) : run.mean()))
             .toList();
-    return new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, now, list, ended);
+    return new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, now, list, completions);
   }
 
-  private double rough(double tail) {
-    return tail * Math.exp(ROUGHNESS * noise.nextGaussian());
+  private double withNoise(double tail) {
+    return tail * Math.exp(TAIL_NOISE * noise.nextGaussian());
   }
 
   private static int progress(Running run, long now) {
@@ -183,7 +187,7 @@
     return (int) Math.min(99, 100 * run.doneMillis / run.workMillis);
   }
 
-  /** Lets one step of time pass. */
+  /** Advances the worker by one step of time. */
   void advance(long now) {
     double left = info.capacity().cpuMillis() - reservedUse(now);
     double wanted =
@@ -233,27 +237,28 @@
       run.over = tail > run.spec.targetMillis();
       return;
     }
-    boolean fills = run.spec.is(StepSpec.Trait.FILLS);
+    boolean bestEffort = run.spec.is(StepSpec.Trait.FILLS);
     boolean restoring = run.resumed && now - run.beganMillis < RESTORE_MILLIS;
-    run.rate = restoring ? 0 : fills ? granted * run.pace / 100.0 : 1;
+    run.rate = restoring ? 0 : bestEffort ? granted * run.pace / 100.0 : 1;
     run.recent[slot] = run.rate * run.spec.need().cpuMillis();
     run.doneMillis += run.rate * speed * Replay.STEP_MILLIS;
   }
 
   private double tail(Running run, long now) {
-    double pressure =
+    double slowdown =
         running.values().stream()
             .filter(other -> other.spec.is(StepSpec.Trait.FILLS))
-            .mapToDouble(other -> pressure(run, other) * other.activity(now))
+            .mapToDouble(other -> slowdown(run, other) * other.activity(now))
             .sum();
-    double slower = 1 + pressure;
+    double slower = 1 + slowdown;
     double idle = 1 - run.service.load(now) * slower;
     double tail = load.baseTailMillis() * slower / Math.max(idle, 1e-6);
     return Math.min(LONGEST_TAIL, tail);
   }
 
-  private double pressure(Running serving, Running filling) {
-    double share = filling.rate * filling.spec.need().cpuMillis() / info.capacity().cpuMillis();
-    return load.weight(serving.spec.image(), filling.spec.image()) * share;
+  private double slowdown(Running serving, Running bestEffort) {
+    double share =
+        bestEffort.rate * bestEffort.spec.need().cpuMillis() / info.capacity().cpuMillis();
+    return load.weight(serving.spec.image(), bestEffort.spec.image()) * share;
   }
 }
