--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -38,7 +38,7 @@
       orders.poll(present, 0);
       return;
     }
-    livesAt(info).filter(other -> !other.registered).toList().forEach(lostWorkers::reborn);
+    livesAt(info).filter(other -> !other.registered).toList().forEach(lostWorkers::replaced);
     Worker worker = leading(info);
     if (!worker.registered) {
       String detail = "address=%s draining=%s %s";
@@ -81,7 +81,7 @@
   }
 
   /** Says what still runs in the data centres that are being emptied. */
-  void noteEvacuations() {
+  void logEvacuations() {
     term.evacuations.all().stream()
         .sorted()
         .forEach(dataCentre -> noteEvacuation("evacuation.left", dataCentre, ""));
@@ -136,7 +136,7 @@
     worker.registered = false;
     worker.staleEntry = Optional.empty();
     if (livesAt(worker.info).anyMatch(other -> other.registered)) {
-      lostWorkers.reborn(worker);
+      lostWorkers.replaced(worker);
     }
   }
 
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -161,7 +161,7 @@
     } else if (event instanceof JobEvent.WorkerFenced e) {
       term.worker(e.worker()).ifPresent(orders::fenced);
     } else if (event instanceof JobEvent.WorkerReborn e) {
-      term.worker(e.worker()).ifPresent(lostWorkers::reborn);
+      term.worker(e.worker()).ifPresent(lostWorkers::replaced);
     } else if (event instanceof JobEvent.TableChanged e) {
       term.table = e.table();
     } else if (event instanceof JobEvent.DataCentresEvacuated e) {
@@ -171,7 +171,7 @@
 
   private void started(JobEvent.StartEnded event) {
     if (orders.startEnded(event)) {
-      term.worker(event.worker()).ifPresent(lostWorkers::reborn);
+      term.worker(event.worker()).ifPresent(lostWorkers::replaced);
     }
   }
 
@@ -191,7 +191,7 @@
       loadLoggedMillis = term.now.mono();
       String load = LoadText.of(term.workers.values(), term.jobs.values(), term.now.mono());
       term.logEvent("leader.load", "workers", load);
-      fleet.noteEvacuations();
+      fleet.logEvacuations();
     }
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -18,7 +18,7 @@
   }
 
   /** Takes in that a worker's life has ended, and all that ran there with it. */
-  void reborn(Worker worker) {
+  void replaced(Worker worker) {
     term.logEvent("worker.reborn", worker.info.id(), "runs=" + worker.placed.size());
     lose(worker, !left(worker));
     // Whoever has its address now refuses orders for another identifier.
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -138,9 +138,9 @@
   }
 
   /** Returns whether its entry may speak of a life. */
-  boolean listedAs(WorkerIncarnation life) {
-    return incarnation().equals(life)
-        || staleEntry.map(WorkerInfo::incarnation).filter(life::equals).isPresent();
+  boolean listedAs(WorkerIncarnation incarnation) {
+    return incarnation().equals(incarnation)
+        || staleEntry.map(WorkerInfo::incarnation).filter(incarnation::equals).isPresent();
   }
 
   /** Returns where orders to it go. */
--- a/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -17,7 +17,7 @@
 
   /** Submits a job whose start stays on its way. */
   private static JobSimulation withStartOnItsWay() {
-    JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+    JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
     lab.delay = effect -> effect instanceof JobEffect.StartRun ? 60_000 : 0;
     lab.submit(job(ID.value(), step(1, 2, List.of())));
     lab.run(300);
@@ -63,7 +63,7 @@
 
     /** Returns a lab in which looks have given a worker a lease that lasts. */
     private static JobSimulation withLease(SimulatedWorker worker) {
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.workMillis = 60_000;
       lab.submit(job("before", step(1, 2, List.of())));
       lab.run(2_000);
@@ -92,7 +92,7 @@
     /** Guards against runs that end with a short bound since they hold no other lease. */
     @Test
     public void bringsLeasesToIdleWorkers() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
       lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
       lab.submit(job(ID.value(), step(1, 2, List.of())));
       lab.run(100);
@@ -103,7 +103,7 @@
     @Test
     public void bringsLeasesWhereLooksAreUnanswered() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.run(3_000);
       final long asked = lab.now;
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
--- a/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -25,7 +25,7 @@
   private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
 
   private static JobSimulation fleet(int workers, int cores) {
-    return lab(
+    return simulation(
         IntStream.range(0, workers)
             .mapToObj(i -> new SimulatedWorker("w" + i, cores))
             .toArray(SimulatedWorker[]::new));
@@ -95,7 +95,7 @@
     @Test
     public void countsCrashesOfWorkersThatAreStillListed() {
       JobSimulation lab = fleet(6, 16);
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
       submitFatal(lab, 3, 10);
       lab.run(40_000);
       assertGivenUp(lab);
@@ -142,7 +142,7 @@
       submitFatal(lab, 1, 10);
       for (int i = 0; i < 8; i++) {
         lab.run(7_500);
-        lab.leaderDies();
+        lab.killLeader();
         lab.run(500);
         lab.takeOver();
       }
@@ -161,7 +161,7 @@
       submitFatal(lab, 1, 10);
       for (int i = 0; i < 8; i++) {
         untilStarts(lab, lab.startsOf(FATAL) + 1);
-        lab.leaderDies();
+        lab.killLeader();
         lab.run(3_500);
         lab.takeOver();
       }
@@ -260,7 +260,7 @@
         lab.crash(alive.get(random.nextInt(alive.size())));
       }
       if (random.nextInt(15) == 0) {
-        lab.leaderDies();
+        lab.killLeader();
         lab.run(2_500);
         lab.takeOver();
       }
--- a/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
@@ -25,7 +25,7 @@
   private static final long WORK_MILLIS = 20_000;
 
   private static void changeLeader(JobSimulation lab, long withoutMillis) {
-    lab.leaderDies();
+    lab.killLeader();
     lab.run(withoutMillis);
     lab.takeOver();
   }
@@ -60,7 +60,7 @@
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.workers.values().forEach(worker -> worker.dead = true);
       lab.takeOver();
@@ -77,7 +77,7 @@
       final long arrives = lab.now + DELAY_MILLIS;
       final JobSpec job = submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(1_700);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.workers.values().forEach(worker -> worker.reachable = false);
       lab.takeOver();
@@ -108,7 +108,9 @@
     }
 
     private static long acknowledged(JobSimulation lab) {
-      return lab.workers.values().stream().mapToLong(SimulatedWorker::acknowledgedEnds).sum();
+      return lab.workers.values().stream()
+          .mapToLong(SimulatedWorker::lastAcknowledgedCompletion)
+          .sum();
     }
 
     /** Guards against ends held back that come before the held ones, or for ever. */
@@ -174,7 +176,7 @@
       lab.workMillis = 500;
       lab.post(new JobEvent.WorkerSeen(first.info));
       lab.run(60_000);
-      assertEquals(first.acknowledgedEnds(), 1);
+      assertEquals(first.lastAcknowledgedCompletion(), 1);
     }
 
     /** Guards against stored lines of lives that are gone. */
@@ -263,10 +265,10 @@
       JobSimulation lab = fleet();
       submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(750);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(500);
       assertEquals(count(lab, JobEffect.StartRun.class), 3);
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(100);
       assertEquals(count(lab, JobEffect.StartRun.class), 6);
     }
@@ -277,10 +279,10 @@
       JobSimulation lab = fleet();
       submitLate(lab, DELAY_MILLIS, step(3, 2, List.of()));
       lab.run(750);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(500);
       lab.workers.values().forEach(worker -> lab.post(JobSimulation.draining(worker)));
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(200);
       assertEquals(count(lab, JobEffect.StartRun.class), 3);
       assertEquals(count(lab, JobEffect.StopRun.class), 3);
@@ -300,12 +302,12 @@
       lab.run(1_100);
       changeLeader(lab, 2_500);
       lab.run(500);
-      lab.listsTheDead = false;
+      lab.listsCrashedWorkers = false;
       crash(lab);
       lab.run(RESTART_MILLIS);
       lab.post(JobSimulation.draining(lab.workers.get(FIRST)));
       lab.run(1_000);
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
       assertCompleteAfterCopy(lab, job, arrives);
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/EarlierCompletionTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EarlierCompletionTest.java
@@ -2,7 +2,7 @@
 
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 
@@ -22,8 +22,8 @@
   private static final long LAPSE_MILLIS = 11_000;
 
   private static JobSimulation fleet(int workers) {
-    JobSimulation lab = returningFleet(workers);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(workers);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -83,7 +83,7 @@
     public void startsNothingAgainAfterTakeover() {
       JobSimulation lab = fleet(1);
       final JobSpec job = crashTwice(lab);
-      lab.leaderDies();
+      lab.killLeader();
       copyIsDone(lab);
       lab.takeOver();
       lab.run(30_000);
@@ -120,13 +120,13 @@
       lab.lost = JobEffect.StopRun.class::isInstance;
       first.reachable = true;
       lab.run(3_000);
-      assertEquals(first.acknowledgedEnds(), 0);
+      assertEquals(first.lastAcknowledgedCompletion(), 0);
       lab.lost = effect -> false;
       lab.run(2_000);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
       assertEquals(lab.starts(), 2);
       lab.run(LateStart.LATEST_MILLIS);
-      assertEquals(first.acknowledgedEnds(), 1);
+      assertEquals(first.lastAcknowledgedCompletion(), 1);
     }
 
     /** Guards against a failure of the later run that counts though the task is done. */
@@ -155,16 +155,16 @@
       final SimulatedWorker first = only(lab);
       first.reachable = false;
       lab.run(7_000);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       while (lab.seen.stream().filter(EarlierCompletionTest::places).count() < 2) {
         lab.run(10);
       }
       first.reachable = true;
       lab.run(500);
       // The leader's lease is renewed before the placement is stored.
-      lab.storeAway = false;
+      lab.storeUnavailable = false;
       lab.run(200);
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(5_000);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
       assertEquals(lab.starts(), 1);
--- a/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -41,7 +41,7 @@
     public void placesNothingThere() {
       SimulatedWorker there = in("a", "w1");
       SimulatedWorker elsewhere = in("b", "w2");
-      JobSimulation lab = lab(there, elsewhere);
+      JobSimulation lab = simulation(there, elsewhere);
       lab.evacuate("a");
       lab.submit(job("j", step(12, 2, List.of())));
       lab.run(400);
@@ -55,12 +55,12 @@
     @Test
     public void sendsNothingThatWaitedForTheStore() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there, in("b", "w2"));
-      lab.storeAway = true;
+      JobSimulation lab = simulation(there, in("b", "w2"));
+      lab.storeUnavailable = true;
       lab.submit(job("j", step(8, 2, List.of())));
       lab.run(100);
       lab.evacuate("a");
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(4_000);
       assertEquals(there.starts.size(), 0);
       assertEquals(lab.phase(new JobId("j")), JobPhase.COMPLETE);
@@ -70,7 +70,7 @@
     @Test
     public void sendsNothingAgain() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there);
+      JobSimulation lab = simulation(there);
       lab.workMillis = 60_000;
       lab.lost = EvacuationTest::isStart;
       lab.late = EvacuationTest::isStart;
@@ -90,7 +90,7 @@
     @Test
     public void nextLifeGetsNothing() {
       for (boolean keepsIds : new boolean[] {false, true}) {
-        JobSimulation lab = lab(in("a", "w1"), in("a", "w2"));
+        JobSimulation lab = simulation(in("a", "w1"), in("a", "w2"));
         lab.keepsIds = keepsIds;
         lab.workMillis = 60_000;
         lab.submit(job("j", step(4, 2, List.of())));
@@ -110,11 +110,11 @@
     @Test
     public void nextLeaderStartsNothingThere() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there);
+      JobSimulation lab = simulation(there);
       lab.evacuate("a");
       lab.submit(job("j", step(2, 2, List.of())));
       lab.run(500);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_000);
       lab.takeOver();
       lab.table(JobFixtures.TABLE);
@@ -129,7 +129,7 @@
     @Test
     public void triesAgainElsewhere() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there);
+      JobSimulation lab = simulation(there);
       lab.submit(job("j", step(1, 2, List.of())));
       lab.run(300);
       lab.evacuate("a");
@@ -142,7 +142,7 @@
     @Test
     public void otherEvacuationsChangeNothing() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there, in("b", "w2"));
+      JobSimulation lab = simulation(there, in("b", "w2"));
       lab.evacuate("a");
       lab.evacuate("a", "b");
       lab.submit(job("j", step(2, 2, List.of())));
@@ -162,7 +162,7 @@
     @Test
     public void goesOn() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = lab(there, in("b", "w2"));
+      JobSimulation lab = simulation(there, in("b", "w2"));
       lab.workMillis = 60_000;
       lab.submit(job("s", step(4, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.submit(job("j", step(4, 2, List.of())));
@@ -179,7 +179,7 @@
     @Test
     public void drainingWorkersTasksStayWhereOnlyEvacuatedRoomIsLeft() {
       SimulatedWorker drains = in("b", "w1");
-      JobSimulation lab = lab(drains);
+      JobSimulation lab = simulation(drains);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
@@ -195,7 +195,7 @@
     /** Guards against operators who cannot tell when a data centre is empty. */
     @Test
     public void isTold() {
-      JobSimulation lab = lab(in("a", "w1"));
+      JobSimulation lab = simulation(in("a", "w1"));
       lab.submit(job("j", step(1, 2, List.of())));
       lab.run(200);
       lab.evacuate("a");
@@ -219,7 +219,7 @@
     @Test
     public void roomThereIsNoneOfThePool() {
       SimulatedWorker rest = in("b", "w2");
-      JobSimulation lab = lab(rest);
+      JobSimulation lab = simulation(rest);
       lab.workMillis = 1_000;
       lab.submit(job("short", step(3, 1, List.of())));
       lab.run(1_500);
@@ -256,7 +256,7 @@
           IntStream.range(0, 6)
               .mapToObj(i -> in("dc" + i % 3, "w" + i))
               .toArray(SimulatedWorker[]::new);
-      JobSimulation lab = lab(workers);
+      JobSimulation lab = simulation(workers);
       lab.keepsIds = random.nextBoolean();
       lab.lost = effect -> random.nextInt(20) == 0;
       for (int round = 0; round < 40; round++) {
@@ -265,7 +265,7 @@
         lab.run(100 + random.nextInt(900));
       }
       lab.evacuate();
-      lab.storeBack();
+      lab.restoreStore();
       lab.lost = effect -> false;
       lab.run(30_000);
       long open =
@@ -290,16 +290,16 @@
           }
         }
         case 4 -> {
-          lab.leaderDies();
+          lab.killLeader();
           lab.run(random.nextInt(2_000));
-          lab.storeBack();
+          lab.restoreStore();
           lab.takeOver();
           lab.table(JobFixtures.TABLE);
         }
         default -> {
-          lab.storeAway = true;
+          lab.storeUnavailable = true;
           lab.run(random.nextInt(1_500));
-          lab.storeBack();
+          lab.restoreStore();
         }
       }
     }
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -35,7 +35,7 @@
   }
 
   private static Task filling(String image) {
-    return TestWorker.filling("f" + image, image);
+    return TestWorker.bestEffort("f" + image, image);
   }
 
   private static double joined(Interference interference, Worker worker, String image) {
--- a/core/src/test/java/org/cottontack/core/job/JobFixtures.java
+++ b/core/src/test/java/org/cottontack/core/job/JobFixtures.java
@@ -40,7 +40,7 @@
     return new JobSpec(new JobId(id), QUEUE, "payload", List.of(steps), JobSpec.Schedule.AT_ONCE);
   }
 
-  static JobSimulation lab(SimulatedWorker... workers) {
+  static JobSimulation simulation(SimulatedWorker... workers) {
     JobSimulation lab = new JobSimulation(workers);
     lab.table(TABLE);
     lab.run(200);
@@ -48,9 +48,9 @@
   }
 
   /** Returns a lab whose workers are soon back under their identifiers after a crash. */
-  static JobSimulation returningFleet(int workers) {
+  static JobSimulation restartingFleet(int workers) {
     JobSimulation lab =
-        lab(
+        simulation(
             IntStream.range(0, workers)
                 .mapToObj(i -> new SimulatedWorker("w" + i, 8))
                 .toArray(SimulatedWorker[]::new));
--- a/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -20,7 +20,7 @@
 
     @Test
     public void runsStepsInOrderAndCompletes() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       JobSpec job = job("a", step(4, 2, List.of()), step(2, 2, List.of(0)));
       lab.submit(job);
       lab.run(300);
@@ -33,7 +33,7 @@
 
     @Test
     public void failsAfterTheLastAttempt() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
       lab.fails = true;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
@@ -44,7 +44,7 @@
 
     @Test
     public void restartsWhatLastsHoweverItEnds() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
       lab.fails = true;
       JobSpec job = job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS));
       lab.submit(job);
@@ -57,7 +57,7 @@
     public void keepsToTheSpreadLimit() {
       SimulatedWorker first = new SimulatedWorker("w1", 32);
       SimulatedWorker second = new SimulatedWorker("w2", 32);
-      JobSimulation lab = lab(first, second);
+      JobSimulation lab = simulation(first, second);
       lab.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
       lab.run(300);
       assertEquals(first.count(), 2);
@@ -66,7 +66,7 @@
 
     @Test
     public void waitsForRoomRatherThanOverfillOne() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(6, 2, List.of()));
       lab.submit(job);
       lab.run(300);
@@ -85,12 +85,12 @@
      */
     @Test
     public void startsNothingThatIsNotStored() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
-      lab.storeAway = true;
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
+      lab.storeUnavailable = true;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(2_000);
       assertEquals(lab.starts(), 0);
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(200);
       assertEquals(lab.starts(), 1);
     }
@@ -102,15 +102,15 @@
     @Test
     public void acknowledgesNoEndThatIsNotStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
       lab.run(200);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(7_000);
-      assertEquals(worker.acknowledgedEnds(), 0);
+      assertEquals(worker.lastAcknowledgedCompletion(), 0);
       lab.takeOver();
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(1_000);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
       assertEquals(lab.starts(), 1);
@@ -126,7 +126,7 @@
      */
     @Test
     public void startsOnceWhenTheAnswerIsLost() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
       lab.lost =
           effect -> {
@@ -148,7 +148,7 @@
      */
     @Test
     public void runsOnceWhenAnOrderArrivesLate() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
       lab.late =
           effect -> {
@@ -170,7 +170,7 @@
     @Test
     public void olderReportsTakeNothingAway() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.workMillis = 60_000;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
@@ -189,7 +189,7 @@
     public void waitsOutTheLeaseOfWorkersOutOfReach() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = lab(first, second);
+      JobSimulation lab = simulation(first, second);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
@@ -208,7 +208,7 @@
      */
     @Test
     public void takesOverWithoutStartingAgain() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       lab.workMillis = 3_000;
       JobSpec job = job("a", step(4, 2, List.of()));
       lab.submit(job);
@@ -226,7 +226,7 @@
     @Test
     public void startsWhatTheLastLeaderOnlyStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.specs.put(job.id(), job);
       lab.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
@@ -244,7 +244,7 @@
     @Test
     public void restartsAtOnceWhenAnotherLifeAnswers() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(first);
+      JobSimulation lab = simulation(first);
       lab.workMillis = 2_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
@@ -265,7 +265,7 @@
     @Test
     public void restartsAtOnceWhenTheAddressIsTakenOver() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(first);
+      JobSimulation lab = simulation(first);
       lab.workMillis = 2_000;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
@@ -287,7 +287,7 @@
     @Test
     public void stopsWhatRunsAndStartsNothingMore() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(6, 2, List.of()));
       lab.submit(job);
@@ -306,7 +306,7 @@
      */
     @Test
     public void keepsCancellationsThatOvertakeTheirJob() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.post(new JobEvent.JobCancelled(job.id()));
       lab.submit(job);
@@ -322,7 +322,7 @@
     @Test
     public void stopsAgainUntilTheRunIsGone() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
       lab.submit(job);
--- a/core/src/test/java/org/cottontack/core/job/JobSimulation.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -54,7 +54,7 @@
   final Map<TaskName, Long> fatal = new HashMap<>();
 
   /** Whether the list of workers still holds a crashed one when its next life answers. */
-  boolean listsTheDead;
+  boolean listsCrashedWorkers;
 
   /** Whether a crashed worker comes back under the identifier that it had. */
   boolean keepsIds;
@@ -63,14 +63,14 @@
   long restartMillis = 3_000;
 
   /** How long an order takes to its worker, and an answer back, in milliseconds. */
-  long tripMillis = 2;
+  long oneWayDelayMillis = 2;
 
   /** Longest time that a worker waits for an end before it answers a look, in milliseconds. */
   long longestWaitMillis = 50;
 
   private int crashes;
 
-  boolean storeAway;
+  boolean storeUnavailable;
   boolean fails;
   long workMillis = 500;
   long now = 1_000;
@@ -123,7 +123,7 @@
   }
 
   /** The leader is killed; orders that it has sent are still carried out. */
-  void leaderDies() {
+  void killLeader() {
     leader = null;
     waitingSaves.clear();
   }
@@ -158,7 +158,7 @@
 
   private void tick(JobScheduler to) {
     if (to != null && to == leader) {
-      renewal = storeAway ? renewal : moment();
+      renewal = storeUnavailable ? renewal : moment();
       post(to, new JobEvent.Tick(renewal));
       after(TICK_MILLIS, () -> tick(to));
     }
@@ -183,7 +183,7 @@
   }
 
   /** Returns all lives of all workers. */
-  Stream<SimulatedWorker> lives() {
+  Stream<SimulatedWorker> incarnations() {
     return Stream.concat(workers.values().stream(), replaced.stream());
   }
 
@@ -206,7 +206,7 @@
   }
 
   private void save(JobScheduler from, JobEffect.SaveProgress save) {
-    if (storeAway) {
+    if (storeUnavailable) {
       waitingSaves.add(save);
       return;
     }
@@ -222,8 +222,8 @@
   }
 
   /** Brings the store back; saves that waited are done. */
-  void storeBack() {
-    storeAway = false;
+  void restoreStore() {
+    storeUnavailable = false;
     while (!waitingSaves.isEmpty()) {
       save(leader, waitingSaves.poll());
     }
@@ -235,7 +235,7 @@
     long held = delay.applyAsLong(order);
     boolean delayed = late.test(order) || held > 0;
     if (!worker.dead && worker.reachable) {
-      long millis = held > 0 ? held : delayed ? 3_000 : tripMillis;
+      long millis = held > 0 ? held : delayed ? 3_000 : oneWayDelayMillis;
       Resources need = need(order);
       after(
           millis,
@@ -248,7 +248,7 @@
               after(survives, () -> crashUnder(there, order.run()));
             }
             if (!unanswered && !delayed) {
-              after(tripMillis, () -> started(from, order, result));
+              after(oneWayDelayMillis, () -> started(from, order, result));
             }
           });
     }
@@ -282,7 +282,7 @@
     workers.put(next.info.id(), next);
     post(new JobEvent.WorkerSeen(next.info));
     WorkerIncarnation dead = worker.info.incarnation();
-    post(listsTheDead ? new JobEvent.WorkerReborn(dead) : new JobEvent.WorkerUnlisted(dead));
+    post(listsCrashedWorkers ? new JobEvent.WorkerReborn(dead) : new JobEvent.WorkerUnlisted(dead));
   }
 
   private void restart(SimulatedWorker worker) {
@@ -290,7 +290,7 @@
     replaced.add(worker);
     workers.put(next.info.id(), next);
     after(
-        listsTheDead ? LISTED_LATE_MILLIS : 0,
+        listsCrashedWorkers ? LISTED_LATE_MILLIS : 0,
         () -> {
           if (!next.dead) {
             post(new JobEvent.WorkerSeen(next.info));
@@ -314,7 +314,7 @@
 
   /** Returns on how many workers runs of a task have begun. */
   long startsOf(TaskName task) {
-    return lives()
+    return incarnations()
         .flatMap(worker -> worker.starts.keySet().stream())
         .filter(run -> run.task().equals(task))
         .count();
@@ -342,7 +342,7 @@
     }
     boolean answers = worker.reachable && !worker.dead && !lost.test(order);
     after(
-        answers ? tripMillis : 900,
+        answers ? oneWayDelayMillis : 900,
         () -> {
           if (answers) {
             worker.stop(order.run(), token);
@@ -362,7 +362,7 @@
       return;
     }
     after(
-        Math.max(tripMillis, Math.min(order.waitMillis(), longestWaitMillis)),
+        Math.max(oneWayDelayMillis, Math.min(order.waitMillis(), longestWaitMillis)),
         () -> {
           SimulatedWorker worker = workers.get(id);
           if (worker == null || !worker.reachable || worker.dead) {
@@ -412,7 +412,7 @@
   }
 
   int starts() {
-    return lives()
+    return incarnations()
         .flatMap(worker -> worker.starts.values().stream())
         .mapToInt(Integer::intValue)
         .sum();
--- a/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
@@ -147,7 +147,7 @@
     @Test
     public void runsNoLastingTaskTwiceWhereNextLifeIsNotHeard() {
       JobSimulation lab = lastingFleet();
-      lab.listsTheDead = false;
+      lab.listsCrashedWorkers = false;
       final long arrives = lab.now + 11_800;
       delay(lab, arrives, LastingLateStartTest::lateOnFirst);
       submitLost(lab);
@@ -156,7 +156,7 @@
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
       crash(lab);
       lab.run(lab.restartMillis + 50);
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
       lostUntil(lab, arrives);
       lab.run(50);
       lab.delay = effect -> 0;
@@ -283,7 +283,7 @@
       delay(lab, arrives, start -> lateOnFirst(start) || ofOther(start));
       submitLost(lab);
       lostUntil(lab, arrives);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       lab.submit(job(OTHER, step(1, 2, List.of())));
--- a/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
@@ -3,7 +3,7 @@
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.assertComplete;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.cottontack.core.job.JobFixtures.submit;
 import static org.testng.Assert.assertEquals;
@@ -28,8 +28,8 @@
   private static final WorkerId FIRST = new WorkerId("w0");
 
   private static JobSimulation fleet(int workers) {
-    JobSimulation lab = returningFleet(workers);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(workers);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -94,7 +94,7 @@
     public void runsNothingAgainAfterTakeover(long delay) {
       JobSimulation lab = fleet(1);
       final List<JobSpec> before = reachNextLife(lab, delay);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(RESTART_MILLIS + 1_500);
       lab.takeOver();
       final List<JobSpec> after = submit(lab, "after", 4);
@@ -277,7 +277,7 @@
       }
       final List<JobSpec> after = submit(lab, "after", 1);
       next(lab, JobEffect.StartRun.class);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       lab.run(40_000);
@@ -302,7 +302,7 @@
       }
       lab.delay = effect -> 0;
       final long leaseArrives = lab.now + 11_900;
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       lab.run(2_000);
@@ -337,7 +337,7 @@
       final List<JobSpec> before = reachNextLife(lab, 3_000);
       next(lab, JobEffect.StartRun.class);
       lab.run(afterMillis);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(lostMillis);
       lab.takeOver();
       final List<JobSpec> after = submit(lab, "after", 4);
@@ -367,7 +367,7 @@
       lab.evacuate("dc");
       lab.run(RESTART_MILLIS + 1_500);
       for (int i = 0; i < 2; i++) {
-        lab.leaderDies();
+        lab.killLeader();
         lab.run(2_500);
         lab.takeOver();
         lab.run(200);
@@ -388,7 +388,7 @@
       lab.delay = effect -> 0;
       lab.run(delay - BACK_BEFORE_MILLIS - RESTART_MILLIS);
       lab.crash(lab.workers.get(FIRST));
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       final List<JobSpec> after = submit(lab, "after", 4);
@@ -409,7 +409,7 @@
       lab.delay = effect -> 0;
       lab.run(3_000 - BACK_BEFORE_MILLIS - RESTART_MILLIS);
       lab.crash(lab.workers.get(FIRST));
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       final List<JobSpec> after = submit(lab, "after", 4);
@@ -426,7 +426,7 @@
       lab.delay = effect -> acknowledges(effect) ? 6_000 : 0;
       awaitAcknowledgement(lab);
       lab.delay = effect -> 0;
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       lab.run(3_400 - BACK_BEFORE_MILLIS - RESTART_MILLIS);
@@ -499,7 +499,7 @@
       JobSimulation lab = fleet(1);
       reachNextLife(lab, 3_000);
       lab.run(RESTART_MILLIS + 12_000);
-      lab.tripMillis = 250;
+      lab.oneWayDelayMillis = 250;
       final List<JobSpec> after = submit(lab, "after", 1);
       lab.run(3_000);
       SimulatedWorker second = new SimulatedWorker("w1", 8);
@@ -522,13 +522,13 @@
         lab.run(10);
       }
       lab.longestWaitMillis = 1_000;
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(2_600);
       lab.delay = effect -> 0;
       lab.seen.clear();
       lab.run(1_000);
       assertTrue(lab.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count() <= 25);
-      assertEquals(lab.workers.get(FIRST).acknowledgedEnds(), 1);
+      assertEquals(lab.workers.get(FIRST).lastAcknowledgedCompletion(), 1);
     }
 
     /** Guards against acknowledgements that are repeated with nothing to forget. */
--- a/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -92,7 +92,7 @@
 
     /** Submits a job whose every start stays on its way for so long. */
     private static Watch withStartOnItsWay(long delay) {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
       lab.workMillis = 60_000;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? delay : 0;
       lab.submit(job("a", step(1, 2, List.of())));
@@ -150,7 +150,7 @@
     public void theNextLeaderStopsWhatBeganBetween(long delay) {
       Watch watch = withStartOnItsWay(delay);
       watch.cancelled.add(ID);
-      watch.lab.leaderDies();
+      watch.lab.killLeader();
       watch.run(TAKEOVER_MILLIS);
       watch.takeOver();
       watch.run(LATEST_MILLIS + 3_000);
@@ -167,7 +167,7 @@
       watch.run(50);
       assertEquals(watch.lab.phase(ID), JobPhase.CANCELLED);
       watch.lab.lost = effect -> false;
-      watch.lab.leaderDies();
+      watch.lab.killLeader();
       watch.run(TAKEOVER_MILLIS);
       watch.takeOver();
       watch.run(LATEST_MILLIS + 3_000);
@@ -179,7 +179,7 @@
     public void theNextLeaderStopsRunsOfUnknownJobs(long delay) {
       Watch watch = withStartOnItsWay(delay);
       watch.cancelled.add(ID);
-      watch.lab.leaderDies();
+      watch.lab.killLeader();
       watch.lab.specs.clear();
       watch.lab.stored.clear();
       watch.run(TAKEOVER_MILLIS);
@@ -201,7 +201,7 @@
      */
     @Test
     public void looksOftenWhereStartsMayStillCome() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
+      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
       lab.lost =
           effect -> effect instanceof JobEffect.StartRun || effect instanceof JobEffect.StopRun;
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? LATEST_MILLIS : 0;
@@ -227,13 +227,13 @@
     @Test
     public void unwantedRunsKeepWorkersFromBeingIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(300);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       worker.start(order(lab, worker), lab.epoch, lab.now, 60_000, new Resources(1_000, 1, 0));
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       long good = lab.now + 500;
       lab.lost = effect -> effect instanceof JobEffect.StopRun && lab.now < good;
       final Watch watch = new Watch(lab);
@@ -272,7 +272,7 @@
     private static List<String> play(int seed) {
       Random random = new Random(seed);
       JobSimulation lab =
-          lab(
+          simulation(
               new SimulatedWorker("w1", 8),
               new SimulatedWorker("w2", 8),
               new SimulatedWorker("w3", 4));
@@ -289,12 +289,12 @@
           watch.cancel(open.remove(random.nextInt(open.size())));
         }
         if (random.nextInt(15) == 0) {
-          lab.storeAway = true;
+          lab.storeUnavailable = true;
           watch.run(random.nextInt(1_500));
-          lab.storeBack();
+          lab.restoreStore();
         }
         if (random.nextInt(12) == 0) {
-          lab.leaderDies();
+          lab.killLeader();
           watch.run(TAKEOVER_MILLIS);
           watch.takeOver();
         }
--- a/core/src/test/java/org/cottontack/core/job/LateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateStartTest.java
@@ -2,7 +2,7 @@
 
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -25,8 +25,8 @@
   static final WorkerId FIRST = new WorkerId("w0");
 
   static JobSimulation fleet() {
-    JobSimulation lab = returningFleet(2);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(2);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -112,7 +112,7 @@
     public void waitsNoLongerWhereItsWorkerIsReplaced() {
       JobSimulation lab = fleet();
       lab.keepsIds = false;
-      lab.listsTheDead = false;
+      lab.listsCrashedWorkers = false;
       final JobSpec job = submitLate(lab, 30_000, step(3, 2, List.of()));
       crash(lab);
       lab.run(RESTART_MILLIS + 3_000);
@@ -144,7 +144,7 @@
       final JobSpec job = submitLate(lab, 10_000, step(3, 2, List.of()));
       lab.run(1_700);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
       backJustBefore(lab, arrives);
@@ -164,7 +164,9 @@
     }
 
     private static long acknowledged(JobSimulation lab) {
-      return lab.workers.values().stream().mapToLong(SimulatedWorker::acknowledgedEnds).sum();
+      return lab.workers.values().stream()
+          .mapToLong(SimulatedWorker::lastAcknowledgedCompletion)
+          .sum();
     }
   }
 
@@ -228,7 +230,7 @@
     public void startsNoPlacedTaskElsewhere(long delay) {
       JobSimulation lab = fleet();
       final JobSpec job = submitAndCrash(lab, delay);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       lab.run(60_000);
@@ -243,7 +245,7 @@
       JobSimulation lab = fleet();
       final JobSpec job = submitAndCrash(lab, delay);
       lab.run(9_200);
-      lab.leaderDies();
+      lab.killLeader();
       lab.takeOver();
       lab.run(60_000);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
--- a/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
@@ -31,7 +31,7 @@
 
   private static double effect(Interference interference, String serving, String filling) {
     Task one = TestWorker.serving("s", serving);
-    Task other = TestWorker.filling("f", filling);
+    Task other = TestWorker.bestEffort("f", filling);
     return interference.effect(TestWorker.with(one, other), one, other);
   }
 
@@ -54,7 +54,7 @@
     @Test(dataProvider = "images")
     public void keepsAnyName(String image) {
       Interference interference = new LearnedInterference();
-      Worker crowd = crowd(TestWorker.serving("s", image), TestWorker.filling("f", image));
+      Worker crowd = crowd(TestWorker.serving("s", image), TestWorker.bestEffort("f", image));
       for (int i = 0; i < 20; i++) {
         interference.learn(crowd, 500L * i);
       }
@@ -171,7 +171,8 @@
       for (int i = 0; i < 600; i++) {
         String image = "image number " + i + " of a caller with long names";
         interference.learn(
-            crowd(TestWorker.serving("s", image.substring(i % 3)), TestWorker.filling("f", image)),
+            crowd(
+                TestWorker.serving("s", image.substring(i % 3)), TestWorker.bestEffort("f", image)),
             500L * i);
       }
       String text =
@@ -187,11 +188,11 @@
     @Test
     public void forgetsWhatWasNotHeardOfForLongest() {
       Interference interference = new LearnedInterference();
-      Worker lasting = crowd(TestWorker.serving("s", "web"), TestWorker.filling("f", "batch"));
+      Worker lasting = crowd(TestWorker.serving("s", "web"), TestWorker.bestEffort("f", "batch"));
       for (int i = 0; i < 600; i++) {
         interference.learn(lasting, 500L * i);
         Worker harmless =
-            crowd(TestWorker.serving("s", "web"), TestWorker.filling("f", "image" + i));
+            crowd(TestWorker.serving("s", "web"), TestWorker.bestEffort("f", "image" + i));
         harmless.serving().forEach(task -> task.load = QUIET_TAIL);
         interference.learn(harmless, 500L * i);
       }
--- a/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
+++ b/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
@@ -3,7 +3,7 @@
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.assertComplete;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.cottontack.core.job.JobFixtures.submit;
 import static org.testng.Assert.assertTrue;
@@ -22,8 +22,8 @@
   private static final WorkerId FIRST = new WorkerId("w0");
 
   private static JobSimulation fleet() {
-    JobSimulation lab = returningFleet(1);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(1);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -86,7 +86,7 @@
       lab.lost = effect -> false;
       lab.workMillis = 500;
       lab.run(30_000);
-      assertTrue(lab.workers.get(FIRST).acknowledgedEnds() > 0);
+      assertTrue(lab.workers.get(FIRST).lastAcknowledgedCompletion() > 0);
       assertComplete(lab, before);
       assertComplete(lab, List.of(late));
     }
--- a/core/src/test/java/org/cottontack/core/job/PendingStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/PendingStartTest.java
@@ -2,7 +2,7 @@
 
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -20,8 +20,8 @@
   private static final long BACK_BEFORE_MILLIS = 20;
 
   private static JobSimulation fleet(int workers) {
-    JobSimulation lab = returningFleet(workers);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(workers);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -75,7 +75,7 @@
       backJustBefore(lab, second, arrives);
       lab.run(30_000);
       assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(first.acknowledgedEnds(), 1);
+      assertEquals(first.lastAcknowledgedCompletion(), 1);
     }
 
     /** Guards against a start sent again that is forgotten since the first one began its run. */
--- a/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
@@ -3,7 +3,7 @@
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.assertComplete;
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.cottontack.core.job.JobFixtures.submit;
 import static org.testng.Assert.assertEquals;
@@ -33,7 +33,7 @@
     /** Guards against ends of a new life that are passed over and acknowledged by old numbers. */
     @Test
     public void startsNothingAgainThatEndedAfterRestart() {
-      JobSimulation lab = returningFleet(1);
+      JobSimulation lab = restartingFleet(1);
       final List<JobSpec> before = submit(lab, "before", 6);
       lab.run(6_000);
       final List<JobSpec> interrupted = submit(lab, "interrupted", 1);
@@ -50,10 +50,10 @@
     /** Guards against a stale entry that hides a restart which only answers tell. */
     @Test
     public void startsNothingAgainWhereOnlyAnswersTellOfRestart() {
-      JobSimulation lab = returningFleet(2);
+      JobSimulation lab = restartingFleet(2);
       submit(lab, "before", 6);
       lab.run(6_000);
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
       final List<JobSpec> interrupted = submit(lab, "interrupted", 2);
       lab.run(200);
       lab.crash(worker(lab, 0));
@@ -64,9 +64,9 @@
     /** Guards against a second run of what was ordered before and runs on the next life. */
     @Test
     public void startsNothingAnewThatNextLifeRuns() {
-      JobSimulation lab = returningFleet(2);
+      JobSimulation lab = restartingFleet(2);
       lab.run(1_000);
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
       lab.crash(worker(lab, 0));
       lab.run(RESTART_MILLIS + 100);
       lab.workMillis = 3_000;
@@ -79,14 +79,14 @@
     /** Guards against a save, begun before a restart, that acknowledges ends of the next life. */
     @Test
     public void acknowledgesNothingOfNextLifeWithSaveOfTheLast() {
-      JobSimulation lab = returningFleet(1);
+      JobSimulation lab = restartingFleet(1);
       submit(lab, "before", 6);
       lab.run(450);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(200);
       lab.crash(worker(lab, 0));
       lab.run(RESTART_MILLIS + 400);
-      lab.storeBack();
+      lab.restoreStore();
       final List<JobSpec> after = submit(lab, "after", 3);
       lab.run(15_000);
       assertComplete(lab, after);
@@ -95,19 +95,19 @@
     /** Guards against the same where the next life has ended something in the meantime. */
     @Test
     public void acknowledgesNoOtherEndsOfNextLifeWithSaveOfTheLast() {
-      JobSimulation lab = returningFleet(1);
-      lab.listsTheDead = true;
+      JobSimulation lab = restartingFleet(1);
+      lab.listsCrashedWorkers = true;
       final List<JobSpec> before = submit(lab, "before", 1);
       lab.run(150);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 1_060 : 0;
       final List<JobSpec> late = submit(lab, "late", 1);
       lab.run(50);
       lab.delay = effect -> 0;
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.run(400);
       lab.crash(worker(lab, 0));
       lab.run(RESTART_MILLIS + 1_500);
-      lab.storeBack();
+      lab.restoreStore();
       final List<JobSpec> after = submit(lab, "after", 3);
       lab.run(20_000);
       assertComplete(lab, before);
@@ -118,7 +118,7 @@
     /** Guards against a lasting task that stays away after it was stopped on a restarted worker. */
     @Test
     public void movesLastingTaskOffRestartedWorkerThatDrains() {
-      JobSimulation lab = returningFleet(2);
+      JobSimulation lab = restartingFleet(2);
       lab.longestWaitMillis = 1_000;
       submit(lab, "before", 6);
       lab.run(6_000);
@@ -151,7 +151,7 @@
     /** Guards against a start that runs on the next life while its task runs elsewhere. */
     @Test(dataProvider = "delays")
     public void runsNoTaskTwiceWhereNextLifeGetsItsStart(long delay) {
-      JobSimulation lab = returningFleet(2);
+      JobSimulation lab = restartingFleet(2);
       submit(lab, "before", 6);
       lab.run(6_000);
       lab.workMillis = 9_000;
@@ -167,7 +167,7 @@
     /** Guards against an acknowledgement that reaches the next life late and drops its ends. */
     @Test(dataProvider = "delays")
     public void losesNoEndWhereNextLifeGetsLateAcknowledgement(long delay) {
-      JobSimulation lab = returningFleet(1);
+      JobSimulation lab = restartingFleet(1);
       submit(lab, "before", 6);
       lab.run(1_000);
       lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? delay : 0;
@@ -190,8 +190,8 @@
      */
     @Test
     public void runsNoTaskTwiceWhereSecondNextLifeGetsItsStart() {
-      JobSimulation lab = returningFleet(2);
-      lab.listsTheDead = true;
+      JobSimulation lab = restartingFleet(2);
+      lab.listsCrashedWorkers = true;
       lab.workMillis = 9_000;
       lab.run(1_000);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 3_700 : 0;
@@ -208,8 +208,8 @@
     /** Guards against a late copy of a start that the next life carries out for a task done. */
     @Test
     public void runsNothingDoneWhereNextLifeGetsCopyOfStart() {
-      JobSimulation lab = returningFleet(1);
-      lab.listsTheDead = true;
+      JobSimulation lab = restartingFleet(1);
+      lab.listsCrashedWorkers = true;
       lab.run(1_000);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 3_700 : 0;
       final List<JobSpec> jobs = submit(lab, "copied", 1);
@@ -224,8 +224,8 @@
     /** Guards against an acknowledgement that makes the next life drop ends it has yet to list. */
     @Test
     public void losesNoEndWhereAcknowledgementComesBeforeLeader() {
-      JobSimulation lab = returningFleet(1);
-      lab.listsTheDead = true;
+      JobSimulation lab = restartingFleet(1);
+      lab.listsCrashedWorkers = true;
       submit(lab, "before", 3);
       lab.delay =
           effect ->
@@ -254,7 +254,7 @@
     /** Guards against a task that crashes one restarted worker after the other without end. */
     @Test
     public void givesUpTaskThatCrashesWorkersWhichKeepTheirIds() {
-      JobSimulation lab = returningFleet(4);
+      JobSimulation lab = restartingFleet(4);
       lab.fatal.put(FATAL, 10L);
       lab.submit(job("bad", step(2, 2, List.of())));
       lab.run(40_000);
@@ -264,7 +264,7 @@
     /** Guards against crashes that no leader saw since worker and leader are lost together. */
     @Test
     public void countsRestartsBetweenTwoLeaders() {
-      JobSimulation lab = returningFleet(4);
+      JobSimulation lab = restartingFleet(4);
       lab.fatal.put(FATAL, 10L);
       lab.submit(job("bad", step(1, 2, List.of())));
       for (int i = 0; i < 8; i++) {
@@ -272,7 +272,7 @@
         for (int j = 0; j < 1_000 && lab.startsOf(FATAL) == starts; j++) {
           lab.run(10);
         }
-        lab.leaderDies();
+        lab.killLeader();
         lab.run(2_500);
         lab.takeOver();
       }
@@ -346,7 +346,7 @@
     }
 
     private static void disturb(JobSimulation lab, Random random) {
-      lab.listsTheDead = random.nextBoolean();
+      lab.listsCrashedWorkers = random.nextBoolean();
       if (random.nextInt(3) == 0) {
         crashSettled(lab, random);
       }
@@ -356,7 +356,7 @@
     }
 
     private static void disturbLeaderAfterCrash(JobSimulation lab, Random random) {
-      lab.listsTheDead = random.nextBoolean();
+      lab.listsCrashedWorkers = random.nextBoolean();
       if (random.nextInt(3) == 0) {
         crashSettled(lab, random);
         if (random.nextBoolean()) {
@@ -367,7 +367,7 @@
     }
 
     private static void disturbInPairs(JobSimulation lab, Random random) {
-      lab.listsTheDead = random.nextBoolean();
+      lab.listsCrashedWorkers = random.nextBoolean();
       crashSettled(lab, random);
       crashSettled(lab, random);
       if (random.nextInt(8) == 0) {
@@ -386,7 +386,7 @@
     }
 
     private static void changeLeader(JobSimulation lab) {
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(2_500);
       lab.takeOver();
     }
@@ -443,7 +443,7 @@
         ToLongBiFunction<JobEffect, Random> lateness,
         BiConsumer<JobSimulation, Random> disturb) {
       Random random = new Random(seed);
-      JobSimulation lab = returningFleet(12);
+      JobSimulation lab = restartingFleet(12);
       lab.run(LATEST_MILLIS);
       lab.delay = effect -> lateness.applyAsLong(effect, random);
       List<JobSpec> jobs =
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -56,7 +56,7 @@
     @Test
     public void haltsWhatPushesTailsOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_500);
@@ -72,7 +72,7 @@
     @Test
     public void oneMilderReportEndsNoAlarm() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       lab.submit(filling("f", "batch"));
       worker.loads.put("f", 0.1);
@@ -94,7 +94,7 @@
     @Test
     public void nothingJoinsBesideTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       worker.loads.put("s", 18.5);
       lab.run(1_200);
@@ -113,7 +113,7 @@
     @Test
     public void ordersThePaceAgainWhenTheAnswerIsLost() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(500);
@@ -132,7 +132,7 @@
     @Test
     public void givesPaceBackAfterTakeover() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_000);
@@ -150,7 +150,7 @@
     @Test
     public void givesPaceBackWhenNothingServesAnyMore() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       harm(lab, worker, filling("f", "batch"), 200.0);
       lab.run(1_500);
@@ -167,7 +167,7 @@
     @Test
     public void stopsWhatIsHaltedThoughNothingElseHasRoom() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 60_000, "s");
       lab.submit(
           job(
@@ -197,7 +197,7 @@
     public void packsServingTasksOfOneImage() {
       SimulatedWorker first = new SimulatedWorker("w1", 16);
       SimulatedWorker second = new SimulatedWorker("w2", 16);
-      JobSimulation lab = lab(first, second);
+      JobSimulation lab = simulation(first, second);
       lab.workMillis = 60_000;
       lab.submit(serving("s1", "web"));
       lab.run(200);
@@ -217,7 +217,7 @@
     @Test
     public void harmfulImagesRunWhereMostIsFree() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 3_000, "s");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       lab.run(3_500);
@@ -234,7 +234,7 @@
     @Test
     public void anotherIdlePoolMakesNoRoom() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
+      JobSimulation lab = simulation(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
       serve(lab, 3_000, "s", "t", "u");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       harmWhileBeside(lab, worker, 3_500);
@@ -251,7 +251,7 @@
     @Test
     public void keepsPairsApartOnceKnownToHurt() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       serve(lab, 3_000, "s", "t", "u");
       harm(lab, worker, filling("f1", "batch"), 180.0);
       harmWhileBeside(lab, worker, 3_500);
--- a/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShortTaskReserveTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -21,7 +21,7 @@
   }
 
   private static JobSimulation fleet() {
-    return lab(
+    return simulation(
         IntStream.range(0, WORKERS)
             .mapToObj(number -> new SimulatedWorker("w" + number, CORES))
             .toArray(SimulatedWorker[]::new));
--- a/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 
@@ -30,7 +30,7 @@
 
     /** Returns a lab whose only worker runs a task of three of its eight cores. */
     private static JobSimulation busy(SimulatedWorker worker) {
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.workMillis = 4_000;
       lab.submit(job("a", step(1, 3, List.of())));
       lab.run(500);
@@ -62,11 +62,11 @@
     public void startsNothingThatWaitedForTheStore() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
       JobSimulation lab = busy(worker);
-      lab.storeAway = true;
+      lab.storeUnavailable = true;
       lab.submit(second());
       lab.run(200);
       lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(2_000);
       assertEquals(lab.startsOf(SECOND), 0);
     }
--- a/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -220,7 +220,7 @@
     return running.values().stream().map(held -> held.need).reduce(Resources.NONE, Resources::plus);
   }
 
-  long acknowledgedEnds() {
+  long lastAcknowledgedCompletion() {
     return acknowledged;
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
@@ -16,7 +16,9 @@
   /** No task runs twice at a time or after its acknowledged end, and no worker holds too much. */
   void checkRuns() {
     Set<TaskName> done =
-        lab.lives().flatMap(worker -> worker.acknowledgedDone.stream()).collect(Collectors.toSet());
+        lab.incarnations()
+            .flatMap(worker -> worker.acknowledgedDone.stream())
+            .collect(Collectors.toSet());
     Map<TaskName, Long> running =
         lab.workers.values().stream()
             .flatMap(worker -> worker.runs().stream())
--- a/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
@@ -2,7 +2,7 @@
 
 import static org.cottontack.core.job.JobFixtures.RESTART_MILLIS;
 import static org.cottontack.core.job.JobFixtures.assertComplete;
-import static org.cottontack.core.job.JobFixtures.returningFleet;
+import static org.cottontack.core.job.JobFixtures.restartingFleet;
 import static org.cottontack.core.job.JobFixtures.submit;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -24,8 +24,8 @@
   private static final WorkerId FIRST = new WorkerId("w0");
 
   private static JobSimulation fleet(int workers) {
-    JobSimulation lab = returningFleet(workers);
-    lab.listsTheDead = true;
+    JobSimulation lab = restartingFleet(workers);
+    lab.listsCrashedWorkers = true;
     lab.run(1_000);
     return lab;
   }
@@ -69,7 +69,7 @@
     lab.crash(first(lab));
     until(lab, arrives);
     lab.run(10);
-    assertTrue(first(lab).ageMillis(lab.now) < 100 && first(lab).acknowledgedEnds() > 0);
+    assertTrue(first(lab).ageMillis(lab.now) < 100 && first(lab).lastAcknowledgedCompletion() > 0);
   }
 
   private static Object[][] product(LongStream first, long... second) {
@@ -94,7 +94,7 @@
 
     private static void away(JobSimulation lab, long away, long lead) {
       SimulatedWorker gone = first(lab);
-      lab.listsTheDead = false;
+      lab.listsCrashedWorkers = false;
       lab.restartMillis = away;
       lab.crash(gone);
       lab.post(new JobEvent.WorkerUnlisted(gone.info.incarnation()));
@@ -102,13 +102,13 @@
       submit(lab, "other", 1);
       lab.run(lead + 20);
       lab.restartMillis = RESTART_MILLIS;
-      lab.listsTheDead = true;
+      lab.listsCrashedWorkers = true;
     }
 
     private static void assertKnownToNextLeader(JobSimulation lab, String jobs) {
       final List<JobSpec> last = submit(lab, jobs, 4);
       final long arrives = acknowledgeLate(lab, 5_000);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       reachNextLife(lab, arrives);
@@ -135,7 +135,7 @@
       JobSimulation lab = fleet(2);
       submit(lab, "before", 4);
       lab.run(5_000);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       lab.run(100);
@@ -149,7 +149,7 @@
       JobSimulation lab = fleet(2);
       submit(lab, "before", 4);
       lab.run(5_000);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       lab.run(100);
@@ -202,7 +202,7 @@
       JobSimulation lab = fleet(1);
       submit(lab, "before", 2);
       final long arrives = acknowledgeLate(lab, delay);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(1_000);
       lab.takeOver();
       reachNextLife(lab, arrives);
--- a/core/src/test/java/org/cottontack/core/job/TestWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/TestWorker.java
@@ -18,7 +18,7 @@
     return task(id, TestStep.tasks(1).image(image).target(TARGET_MILLIS), StepSpec.Trait.LASTS);
   }
 
-  static Task filling(String id, String image) {
+  static Task bestEffort(String id, String image) {
     Task task = task(id, TestStep.tasks(1).image(image), StepSpec.Trait.FILLS);
     task.load = 4_000;
     return task;
--- a/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -34,7 +34,7 @@
       SimulatedWorker here = in("a", "w1");
       SimulatedWorker second = in("b", "w2");
       SimulatedWorker third = in("c", "w3");
-      JobSimulation lab = lab(here, second, third);
+      JobSimulation lab = simulation(here, second, third);
       lab.submit(job("a", step(3, 8, List.of(), StepSpec.Trait.LASTS)));
       lab.run(4_000);
       assertEquals(handOvers(lab), 0);
@@ -49,7 +49,7 @@
     public void staysWhereHalfAnswer() {
       SimulatedWorker here = in("a", "w1");
       SimulatedWorker there = in("b", "w2");
-      JobSimulation lab = lab(here, there);
+      JobSimulation lab = simulation(here, there);
       lab.submit(job("a", step(2, 8, List.of(), StepSpec.Trait.LASTS)));
       lab.run(4_000);
       there.reachable = false;
@@ -70,7 +70,7 @@
     private static final TaskName TASK = TaskName.parse("s.0.0.0");
 
     private static JobSimulation withLastingTask(SimulatedWorker first, SimulatedWorker second) {
-      JobSimulation lab = lab(first, second);
+      JobSimulation lab = simulation(first, second);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
@@ -121,7 +121,7 @@
       lab.run(5_000);
       lost.dead = true;
       lab.run(500);
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(TAKEOVER_MILLIS);
       lab.takeOver();
       lab.run(AWAY_MILLIS - TAKEOVER_MILLIS);
@@ -143,7 +143,7 @@
       final SimulatedWorker other = cut == first ? second : first;
       lab.run(5_000);
       cut.reachable = false;
-      lab.leaderDies();
+      lab.killLeader();
       lab.run(TAKEOVER_MILLIS);
       lab.takeOver();
       lab.run(20_000);
@@ -204,7 +204,7 @@
       SimulatedWorker second = new SimulatedWorker("w2", 8);
       JobSimulation lab = withLastingTask(first, second);
       holder(first, second).dead = true;
-      lab.leaderDies();
+      lab.killLeader();
       lab.takeOver();
       lab.run(500);
       assertEquals(
@@ -228,7 +228,7 @@
     public void suspectsWorkersThatFailEverything() {
       SimulatedWorker bad = new SimulatedWorker("w1", 32);
       SimulatedWorker good = new SimulatedWorker("w2", 16);
-      JobSimulation lab = lab(bad, good);
+      JobSimulation lab = simulation(bad, good);
       bad.failsAll = true;
       for (int i = 0; i < 8; i++) {
         lab.submit(job("a" + i, step(1, 1, List.of())));
@@ -249,7 +249,7 @@
     public void movesRunsThatStandStill() {
       SimulatedWorker bad = new SimulatedWorker("w1", 32);
       SimulatedWorker good = new SimulatedWorker("w2", 16);
-      JobSimulation lab = lab(bad, good);
+      JobSimulation lab = simulation(bad, good);
       bad.stalls = true;
       JobSpec job = job("a", step(1, 1, List.of()));
       lab.submit(job);
@@ -262,15 +262,15 @@
     public void startsNothingWithSaveOfEarlierPlacement() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = lab(first, second);
-      lab.storeAway = true;
+      JobSimulation lab = simulation(first, second);
+      lab.storeUnavailable = true;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(50);
       lab.post(new JobEvent.WorkerReborn(second.info.incarnation()));
       lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
       lab.post(new JobEvent.WorkerSeen(first.info));
       lab.run(300);
-      lab.storeBack();
+      lab.restoreStore();
       lab.run(2_000);
       assertEquals(lab.starts(), 1);
     }
@@ -280,7 +280,7 @@
     public void movesLastingTaskWhoseEndIsNeverListed() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = lab(first, second);
+      JobSimulation lab = simulation(first, second);
       lab.workMillis = 60_000;
       lab.submit(job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
       lab.run(1_000);
@@ -299,7 +299,7 @@
     @Test
     public void sendsNothingAgainToLeavingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(leaving);
+      JobSimulation lab = simulation(leaving);
       lab.delay = effect -> effect instanceof JobEffect.StartRun ? 20_000 : 0;
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(500);
@@ -317,7 +317,7 @@
     @Test
     public void movesLastingTasksOffDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 32);
-      JobSimulation lab = lab(leaving);
+      JobSimulation lab = simulation(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(3, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
@@ -338,7 +338,7 @@
     @Test
     public void lostStopsDoNotHoldLastingTasksOnDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(leaving);
+      JobSimulation lab = simulation(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(2, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.run(500);
@@ -364,7 +364,7 @@
     @Test
     public void hopelessJobsDoNotHoldLastingTasksOnDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 16);
-      JobSimulation lab = lab(leaving);
+      JobSimulation lab = simulation(leaving);
       lab.workMillis = 60_000;
       lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
       lab.submit(job("never", step(1, 99, List.of(), StepSpec.Trait.LASTS)));
@@ -380,7 +380,7 @@
     @Test
     public void placesNothingOnDrainingWorkers() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.post(JobSimulation.draining(worker));
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(1_000);
@@ -390,7 +390,7 @@
     @Test
     public void placesNothingOnWorkersOfAnotherPool() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       JobQueue moved = new JobQueue("queue", "host", "/jobs/", "other", 0, 2, 1.5, 250, false);
       lab.table(new JobTable(2, List.of(moved), List.of()));
       lab.submit(job("a", step(1, 2, List.of())));
@@ -401,7 +401,7 @@
     @Test
     public void forgetsWorkersThatLeftEmpty() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation lab = simulation(worker);
       lab.post(new JobEvent.WorkerUnlisted(worker.info.incarnation()));
       lab.submit(job("a", step(1, 2, List.of())));
       lab.run(1_000);
