--- a/core/src/main/java/org/cottontack/core/job/CrashBlame.java
+++ b/core/src/main/java/org/cottontack/core/job/CrashBlame.java
@@ -50,7 +50,7 @@
     List<Task> suspects = runs.stream().filter(CrashBlame::mayBeCause).toList();
     suspects.stream().filter(task -> likeliest(task, suspects)).forEach(task -> task.blamed++);
     suspects.forEach(task -> task.crashes++);
-    return suspects.stream().filter(CrashBlame::hopeless).toList();
+    return suspects.stream().filter(CrashBlame::shouldAbandon).toList();
   }
 
   /**
@@ -61,7 +61,7 @@
    */
   static List<Task> endedUndone(Collection<Task> runs) {
     runs.stream().filter(task -> task.crashes >= LAST_RUNS_CRASHES).forEach(task -> task.crashes++);
-    return runs.stream().filter(CrashBlame::hopeless).toList();
+    return runs.stream().filter(CrashBlame::shouldAbandon).toList();
   }
 
   /** Returns whether a lasting run has shown that it does not crash its worker. */
@@ -83,11 +83,13 @@
     boolean begunJustBefore = task.order == Task.Order.CONFIRMED && !listed(task);
     int least = begunJustBefore ? 1 : SUSPECT_CRASHES;
     return task.crashes >= least
-        && suspects.stream().filter(other -> other != task).allMatch(other -> less(other, task));
+        && suspects.stream()
+            .filter(other -> other != task)
+            .allMatch(other -> lessLikely(other, task));
   }
 
   /** A run that was listed has lived for a while; one that was not, and has a past, may be it. */
-  private static boolean less(Task other, Task task) {
+  private static boolean lessLikely(Task other, Task task) {
     boolean sooner = listed(task) && !listed(other) && other.crashes > 0;
     return other.crashes < task.crashes && !sooner;
   }
@@ -96,7 +98,7 @@
     return task.listedMillis > 0;
   }
 
-  private static boolean hopeless(Task task) {
+  private static boolean shouldAbandon(Task task) {
     return task.blamed >= MOST_BLAMED || task.crashes >= MOST_CRASHES;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -16,7 +16,7 @@
   static final long LONGEST_LEASE_MILLIS = 10_300;
 
   /** Time between looks at a worker that lists held ends: it waits for no further one. */
-  private static final long HELD_LOOK_MILLIS = 100;
+  private static final long DEFERRED_ACKNOWLEDGEMENT_POLL_MILLIS = 100;
 
   private final Term term;
   private final Orders orders;
@@ -32,20 +32,23 @@
 
   void seen(WorkerInfo info) {
     Worker present = term.workers.get(info.id());
-    if (present != null && present.outlived(info.incarnation())) {
+    if (present != null && present.supersedes(info.incarnation())) {
       // Births may be wrong where clocks were set back: an answer shows which life leads.
       present.staleEntry = Optional.of(info);
       orders.poll(present, 0);
       return;
     }
-    livesAt(info).filter(other -> !other.registered).toList().forEach(lostWorkers::replaced);
-    Worker worker = leading(info);
+    othersAtAddress(info)
+        .filter(other -> !other.registered)
+        .toList()
+        .forEach(lostWorkers::replaced);
+    Worker worker = workerFor(info);
     if (!worker.registered) {
       String detail = "address=%s draining=%s %s";
       term.logEvent(
           "worker.listed",
           info.id(),
-          detail.formatted(info.address(), info.draining(), worker.answers()));
+          detail.formatted(info.address(), info.draining(), worker.answerDetails()));
     }
     worker.info = info;
     worker.staleEntry = Optional.empty();
@@ -67,7 +70,7 @@
         .forEach(
             dataCentre -> {
               term.evacuations.begin(dataCentre, now);
-              noteEvacuation("evacuation.seen", dataCentre, "");
+              logEvacuation("evacuation.seen", dataCentre, "");
             });
     before.stream()
         .filter(dataCentre -> !dataCentres.contains(dataCentre))
@@ -75,7 +78,7 @@
         .forEach(
             dataCentre -> {
               long millis = term.evacuations.end(dataCentre, now);
-              noteEvacuation("evacuation.ended", dataCentre, " afterMillis=" + millis);
+              logEvacuation("evacuation.ended", dataCentre, " afterMillis=" + millis);
             });
     term.roomChanged = true;
   }
@@ -84,16 +87,16 @@
   void logEvacuations() {
     term.evacuations.all().stream()
         .sorted()
-        .forEach(dataCentre -> noteEvacuation("evacuation.left", dataCentre, ""));
+        .forEach(dataCentre -> logEvacuation("evacuation.left", dataCentre, ""));
   }
 
-  private void noteEvacuation(String event, DataCentreId dataCentre, String more) {
+  private void logEvacuation(String event, DataCentreId dataCentre, String more) {
     term.logEvent(
         event, dataCentre, Evacuations.remaining(term.workers.values(), dataCentre) + more);
   }
 
   /** Returns the worker that leads the life which an entry speaks of. */
-  private Worker leading(WorkerInfo info) {
+  private Worker workerFor(WorkerInfo info) {
     Worker known = term.workers.get(info.id());
     if (known == null) {
       return term.add(info, term.inheritedLeaseEndMillis);
@@ -108,8 +111,8 @@
    * reach the next life, so what was or may have been started waits for that one's first answer.
    */
   private Worker restarted(Worker before, WorkerInfo info) {
-    long lapse = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
-    Worker next = term.add(info, lapse);
+    long leaseEnd = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
+    Worker next = term.add(info, leaseEnd);
     List<Task> runs = List.copyOf(before.placed.values());
     runs.forEach(next::add);
     lostWorkers.restarted(next, runs, LostWorkers.left(before), term.now.mono());
@@ -120,22 +123,23 @@
    * Takes in that another life of a worker has answered. Answers may overtake each other: one of an
    * earlier life, asked before the present one was last heard, says nothing.
    */
-  void answered(Worker asked, long bornMillis, long sentMillis) {
-    WorkerIncarnation life = new WorkerIncarnation(asked.info.id(), bornMillis);
-    boolean later = bornMillis > asked.incarnation().startTimeMillis();
-    if (later || (asked.everAnswered && sentMillis >= asked.lastAnswerMillis)) {
-      Optional<WorkerInfo> entry = asked.staleEntry.filter(info -> info.incarnation().equals(life));
-      orders.poll(restarted(asked, asked.info.with(life)), 0);
+  void otherIncarnationAnswered(Worker worker, long startTimeMillis, long sentMillis) {
+    WorkerIncarnation incarnation = new WorkerIncarnation(worker.info.id(), startTimeMillis);
+    boolean later = startTimeMillis > worker.incarnation().startTimeMillis();
+    if (later || (worker.everAnswered && sentMillis >= worker.lastAnswerMillis)) {
+      Optional<WorkerInfo> entry =
+          worker.staleEntry.filter(info -> info.incarnation().equals(incarnation));
+      orders.poll(restarted(worker, worker.info.withIncarnation(incarnation)), 0);
       entry.ifPresent(this::seen);
     } else {
-      silent(asked);
+      silent(worker);
     }
   }
 
   void unlisted(Worker worker) {
     worker.registered = false;
     worker.staleEntry = Optional.empty();
-    if (livesAt(worker.info).anyMatch(other -> other.registered)) {
+    if (othersAtAddress(worker.info).anyMatch(other -> other.registered)) {
       lostWorkers.replaced(worker);
     }
   }
@@ -144,7 +148,7 @@
    * Returns other workers at a worker's address. When one of them is registered, those that no
    * longer are have ended, with all that ran there: their leases need not be waited out.
    */
-  private Stream<Worker> livesAt(WorkerInfo info) {
+  private Stream<Worker> othersAtAddress(WorkerInfo info) {
     return term.workers.values().stream()
         .filter(other -> other.info.reachable())
         .filter(other -> other.info.address().equals(info.address()))
@@ -162,10 +166,10 @@
   }
 
   void tick(Worker worker) {
-    boolean outOfTouch = worker.silent || !worker.everAnswered;
-    noteWait(worker);
-    if (outOfTouch && term.now.mono() > worker.leasesEndedMillis()) {
-      lostWorkers.lapsed(worker);
+    boolean unreachable = worker.silent || !worker.everAnswered;
+    logLeaseWait(worker);
+    if (unreachable && term.now.mono() > worker.leasesEndedMillis()) {
+      lostWorkers.leasesExpired(worker);
     }
     if (!worker.registered && worker.placed.isEmpty() && worker.orphans.isEmpty()) {
       term.forget(worker);
@@ -174,16 +178,16 @@
     // A stop of a run that nobody wants goes out again only after a look that shows the run. Were
     // the worker idle then, a cancelled job's run would outlive a lost stop by seconds.
     boolean empty = worker.placed.isEmpty() && worker.orphans.isEmpty();
-    boolean idle = empty && !worker.listsCompletions && !outOfTouch;
+    boolean idle = empty && !worker.listsCompletions && !unreachable;
     long gap = idle ? term.timing.idlePollMillis() : term.timing.pollRetryMillis();
-    if (!outOfTouch && worker.deferredAcknowledgements.any(term.now.mono())) {
-      gap = HELD_LOOK_MILLIS;
+    if (!unreachable && worker.deferredAcknowledgements.any(term.now.mono())) {
+      gap = DEFERRED_ACKNOWLEDGEMENT_POLL_MILLIS;
     }
     if (!worker.pollInFlight && term.now.mono() - worker.lastPollMillis >= gap) {
       orders.poll(worker, 0);
     }
-    if (worker.info.draining() && !outOfTouch) {
-      moveLasting(worker);
+    if (worker.info.draining() && !unreachable) {
+      moveLongRunningTask(worker);
     }
     worker.placed.values().stream()
         .filter(task -> task.order == Task.Order.RESEND)
@@ -196,7 +200,7 @@
   }
 
   /** Says once how long the tasks of a worker out of touch have to wait for its leases to end. */
-  private void noteWait(Worker worker) {
+  private void logLeaseWait(Worker worker) {
     if (worker.awaitsLeaseEnd() && !worker.leaseWaitLogged) {
       String detail =
           "runs=%d registered=%s leasesEndInMillis=%d"
@@ -215,7 +219,7 @@
    * the task would be away for 9 s. One at a time, and only when none waits already: a task that
    * finds no room elsewhere is better off where it is.
    */
-  private void moveLasting(Worker worker) {
+  private void moveLongRunningTask(Worker worker) {
     boolean oneWaits =
         term.jobsToPlace.stream().anyMatch(job -> job.spec.isLongRunning() && job.begun);
     List<RunKey> stopping =
@@ -228,7 +232,7 @@
         .filter(task -> task.spec.is(StepSpec.Trait.LASTS))
         .filter(task -> task.order == Task.Order.CONFIRMED && !task.job.phase.terminal())
         .filter(task -> !task.pinned(term.now.mono()))
-        .filter(task -> roomFor(task).isPresent())
+        .filter(task -> findWorkerFor(task).isPresent())
         .findFirst()
         .ifPresent(
             task -> {
@@ -237,7 +241,7 @@
             });
   }
 
-  private Optional<Worker> roomFor(Task task) {
+  private Optional<Worker> findWorkerFor(Task task) {
     JobQueue queue = term.table.current(task.job.spec.queue());
     return workerSelector.choose(task, queue, term.workers.values(), term.now.mono());
   }
--- a/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
+++ b/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
@@ -10,15 +10,16 @@
 /** What a leader keeps of each worker identifier over all lives that have it. */
 final class IncarnationHistory {
 
-  private record Last(WorkerIncarnation life, int restarts) {}
+  private record Last(WorkerIncarnation incarnation, int restarts) {}
 
   private final Map<WorkerId, Last> last = new HashMap<>();
   private final Map<WorkerId, Acknowledgements> acknowledgements = new HashMap<>();
   private final Map<WorkerId, LateLeases> lateLeases = new HashMap<>();
 
   /** Takes in which life a worker leads, and returns how often it has started again. */
-  int restarts(WorkerIncarnation life) {
-    return last.merge(life.worker(), new Last(life, 0), IncarnationHistory::next).restarts();
+  int restarts(WorkerIncarnation incarnation) {
+    return last.merge(incarnation.worker(), new Last(incarnation, 0), IncarnationHistory::next)
+        .restarts();
   }
 
   Acknowledgements acknowledgements(WorkerId id) {
@@ -42,6 +43,8 @@
   }
 
   private static Last next(Last before, Last now) {
-    return before.life().equals(now.life()) ? before : new Last(now.life(), before.restarts() + 1);
+    return before.incarnation().equals(now.incarnation())
+        ? before
+        : new Last(now.incarnation(), before.restarts() + 1);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -20,7 +20,7 @@
   /** Takes in that a worker's life has ended, and all that ran there with it. */
   void replaced(Worker worker) {
     term.logEvent("worker.reborn", worker.info.id(), "runs=" + worker.placed.size());
-    lose(worker, !left(worker));
+    releaseLost(worker, !left(worker));
     // Whoever has its address now refuses orders for another identifier.
     term.jobs.values().stream()
         .flatMap(Job::tasks)
@@ -30,14 +30,14 @@
   }
 
   /** Takes in that all leases of a worker out of touch have ended. */
-  void lapsed(Worker worker) {
+  void leasesExpired(Worker worker) {
     Set.copyOf(worker.orphans.keySet()).forEach(worker::removeOrphan);
     if (worker.placed.isEmpty()) {
       return;
     }
     term.logEvent("worker.lapsed", worker.info.id(), "runs=" + worker.placed.size());
     // One that is still listed may live, cut off from us alone.
-    lose(worker, !worker.registered && !left(worker));
+    releaseLost(worker, !worker.registered && !left(worker));
   }
 
   /**
@@ -50,7 +50,7 @@
    */
   void restarted(Worker worker, List<Task> runs, boolean left, long sinceMillis) {
     term.logEvent("worker.restarted", worker.incarnation(), "runs=" + runs.size());
-    List<Task> hopeless = judge(worker, runs, !left);
+    List<Task> toAbandon = countLosses(worker, runs, !left);
     runs.forEach(
         task -> {
           if (task.mayHaveBegun()) {
@@ -60,15 +60,15 @@
             term.release(task);
           }
         });
-    hopeless.forEach(lifecycle::giveUp);
+    toAbandon.forEach(lifecycle::giveUp);
   }
 
-  private void lose(Worker worker, boolean crashed) {
+  private void releaseLost(Worker worker, boolean crashed) {
     List<Task> lost = List.copyOf(worker.placed.values());
-    List<Task> hopeless = judge(worker, lost, crashed);
+    List<Task> toAbandon = countLosses(worker, lost, crashed);
     lost.forEach(term::release);
     lost.forEach(term::logPinned);
-    hopeless.forEach(lifecycle::giveUp);
+    toAbandon.forEach(lifecycle::giveUp);
   }
 
   /**
@@ -76,9 +76,9 @@
    * reported by nobody. Not counted, a task that crashes every worker goes to the next one as soon
    * as the last is back, and no caller's work beside it ends.
    */
-  private List<Task> judge(Worker worker, List<Task> lost, boolean crashed) {
-    List<Task> hopeless = crashed ? CrashBlame.crashed(lost) : CrashBlame.endedUndone(lost);
-    lost.forEach(task -> noteLost(worker, task));
+  private List<Task> countLosses(Worker worker, List<Task> lost, boolean crashed) {
+    List<Task> toAbandon = crashed ? CrashBlame.crashed(lost) : CrashBlame.endedUndone(lost);
+    lost.forEach(task -> logLost(worker, task));
     lost.stream()
         .filter(task -> task.order == Task.Order.SENT)
         .forEach(
@@ -86,7 +86,7 @@
               task.unanswered();
               term.recordIgnoredStart(task);
             });
-    return hopeless;
+    return toAbandon;
   }
 
   /**
@@ -98,7 +98,7 @@
     return worker.info.reachable() && worker.info.draining();
   }
 
-  private void noteLost(Worker worker, Task task) {
+  private void logLost(Worker worker, Task task) {
     boolean byUs = task.placedMillis > 0;
     String detail =
         "%s order=%s placed=%d listed=%d crashes=%d blamed=%d"
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -58,7 +58,7 @@
             worker.target(),
             task.key(),
             task.job.spec.payload(),
-            worker.clock.leaseEnd(startEnd(worker, task)),
+            worker.clock.leaseEnd(startDeadline(worker, task)),
             task.checkpoint));
   }
 
@@ -69,14 +69,15 @@
    * Where none is known to be in force, so short a lease would end the run. That is what a run
    * needs whose end may not be listed: whatever becomes of other orders, it is not done.
    */
-  private long startEnd(Worker worker, Task task) {
+  private long startDeadline(Worker worker, Task task) {
     if (task.shortLease) {
       return Math.min(
           term.now.mono() + SuppressedCompletions.TOO_SHORT_MILLIS, term.startDeadlineMillis);
     }
     long lease = startLeaseEnd(worker);
-    boolean held = worker.heldLeaseMillis() - term.now.mono() > LEAST_START_LEASE_MILLIS;
-    return held ? Math.min(lease, term.startDeadlineMillis) : lease;
+    boolean leaseConfirmed =
+        worker.confirmedLeaseEndMillis() - term.now.mono() > LEAST_START_LEASE_MILLIS;
+    return leaseConfirmed ? Math.min(lease, term.startDeadlineMillis) : lease;
   }
 
   /**
@@ -92,14 +93,14 @@
   /**
    * Says once of each run that a worker has it though its job is known to be cancelled.
    *
-   * @param how what showed it
+   * @param evidence what showed it
    */
-  void noteCancelled(Worker worker, Task task, String how) {
+  void logCancelledRun(Worker worker, Task task, String evidence) {
     if (task.job.phase == JobPhase.CANCELLED && !task.cancelNoted) {
       task.cancelNoted = true;
       long sent = task.sentMillis() == 0 ? 0 : term.now.mono() - task.sentMillis();
       term.logEvent(
-          "run.cancelled", task.key(), worker.info.id() + " " + how + " sentMillis=" + sent);
+          "run.cancelled", task.key(), worker.info.id() + " " + evidence + " sentMillis=" + sent);
     }
   }
 
@@ -136,7 +137,7 @@
       term.logEvent("start.refused", event.run(), event.worker().worker() + " " + event.result());
     }
     if (event.result() == StartResult.STARTED) {
-      noteCancelled(worker, task, "started");
+      logCancelledRun(worker, task, "started");
       task.startAnswered();
     }
     term.recordIgnoredStart(task);
@@ -146,9 +147,9 @@
     }
     switch (event.result()) {
       case STARTED, OLD -> confirm(task);
-      case LATE -> late(worker, task);
+      case LATE -> handleLateStart(worker, task);
       case NOT_SENT, UNKNOWN -> task.order = Task.Order.RESEND;
-      case NO_ROOM, NO_TICKET, UNHEALTHY, INVALID -> elsewhere(worker, task);
+      case NO_ROOM, NO_TICKET, UNHEALTHY, INVALID -> placeElsewhere(worker, task);
       case FENCED -> fenced(worker);
       case REBORN -> {
         return true;
@@ -193,7 +194,7 @@
   }
 
   /** A brief run goes elsewhere: where orders take longer than its lease it would never begin. */
-  private void late(Worker worker, Task task) {
+  private void handleLateStart(Worker worker, Task task) {
     if (task.shortLease) {
       worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
       term.release(task);
@@ -202,7 +203,7 @@
     }
   }
 
-  private void elsewhere(Worker worker, Task task) {
+  private void placeElsewhere(Worker worker, Task task) {
     worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
     if (task.startInDoubt) {
       // An earlier copy of this order may still be on its way and run later; the stop bars it.
@@ -252,24 +253,24 @@
     worker.lastPollMillis = term.now.mono();
     // Only a life that still lists such ends is told which ones are stored. Where it has crashed
     // unseen, the next life would drop its own ends with these numbers.
-    boolean lists =
+    boolean listsAcknowledged =
         worker.listsCompletions
             && worker.firstListedCompletion <= worker.lastAcknowledgedCompletion;
-    boolean acknowledges = lists && !worker.silent;
+    boolean acknowledges = listsAcknowledged && !worker.silent;
     // Where the next life may get what names ends it gets no lease with it, and its runs can be
     // ended by the leases that their starts bring.
-    boolean alone = acknowledges && worker.incarnation().identifierReusable();
+    boolean ackOnly = acknowledges && worker.incarnation().identifierReusable();
     long leftMillis = worker.clock.lastLeaseEndMillis() - term.now.mono();
     boolean needed = !worker.placed.isEmpty() && worker.renewsLeases();
     boolean longer = term.grantEndMillis() > worker.clock.lastLeaseEndMillis();
-    boolean leaseFirst = alone && needed && longer && leftMillis < LEAST_LEFT_LEASE_MILLIS;
-    long leaseEnd = alone && !leaseFirst ? noLease(worker) : leaseEnd(worker);
+    boolean leaseFirst = ackOnly && needed && longer && leftMillis < LEAST_LEFT_LEASE_MILLIS;
+    long leaseEnd = ackOnly && !leaseFirst ? noLease(worker) : leaseEnd(worker);
     long acknowledged = acknowledges && !leaseFirst ? worker.lastAcknowledgedCompletion : 0;
     worker.acknowledgements.sent(acknowledged, term.now.mono());
     worker.lateLeases.asked(leaseEnd > 0, term.now.mono());
     term.effects.add(
         new JobEffect.LookAtWorker(
-            worker.target(), leaseEnd, acknowledged, alone ? 0 : waitMillis));
+            worker.target(), leaseEnd, acknowledged, ackOnly ? 0 : waitMillis));
   }
 
   /** Returns the end of the lease that a look brings, on the worker's clock; 0 for none. */
@@ -281,12 +282,12 @@
     if (!renew || until <= term.now.mono()) {
       return noLease(worker);
     }
-    worker.offeredLeaseMillis = until;
+    worker.offeredLeaseEndMillis = until;
     return worker.clock.leaseEnd(until);
   }
 
   private static long noLease(Worker worker) {
-    worker.offeredLeaseMillis = 0;
+    worker.offeredLeaseEndMillis = 0;
     return 0;
   }
 
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -28,7 +28,7 @@
   private static final int MOST_DOUBLINGS = 3;
 
   /** What clocks of instances and of the store may differ by in a lease, in milliseconds. */
-  private static final long LAPSE_MARGIN_MILLIS = 100;
+  private static final long EXPIRY_MARGIN_MILLIS = 100;
 
   /**
    * Age from which on failures are forgotten, in milliseconds: twice the longest pause. Lasting
@@ -60,10 +60,10 @@
   long lastAnswerMillis;
 
   /** End, on our clock, of the lease that the last look brings; 0 when it brings none. */
-  long offeredLeaseMillis;
+  long offeredLeaseEndMillis;
 
   /** Latest end, on our clock, of a lease that an answered look brought. */
-  private long heldLeaseMillis;
+  private long confirmedLeaseEndMillis;
 
   /** Whether its last answer listed ends. */
   boolean listsCompletions;
@@ -107,7 +107,7 @@
    * @param info what it says of itself
    * @param evacuations the data centres that get nothing new
    * @param restarts how often it has started again under its identifier in this term
-   * @param inheritedLapseMillis when leases that others gave have ended, on our steady clock
+   * @param inheritedLeaseEndMillis when leases that others gave have ended, on our steady clock
    * @param acknowledgements what was acknowledged to the lives before
    * @param lateLeases what may bring leases that were meant for the lives before
    */
@@ -115,13 +115,13 @@
       WorkerInfo info,
       Evacuations evacuations,
       int restarts,
-      long inheritedLapseMillis,
+      long inheritedLeaseEndMillis,
       Acknowledgements acknowledgements,
       LateLeases lateLeases) {
     this.info = info;
     this.evacuations = evacuations;
     this.restarts = restarts;
-    this.inheritedLeaseEndMillis = inheritedLapseMillis;
+    this.inheritedLeaseEndMillis = inheritedLeaseEndMillis;
     this.acknowledgements = acknowledgements;
     this.lateLeases = lateLeases;
   }
@@ -131,7 +131,7 @@
   }
 
   /** Returns whether a life is taken for one before this, which has answered. */
-  boolean outlived(WorkerIncarnation other) {
+  boolean supersedes(WorkerIncarnation other) {
     return everAnswered
         && other.identifierReusable()
         && other.startTimeMillis() < incarnation().startTimeMillis();
@@ -167,9 +167,9 @@
         placed.values().stream().anyMatch(task -> SuppressedCompletions.matters(task.spec));
     boolean leased = !orphans.isEmpty() || nowMillis < clock.lastLeaseEndMillis();
     // A service never ends. It would keep all other work away for as long as it runs here.
-    boolean beside = renewsLeases() && !probed;
+    boolean besideService = renewsLeases() && !probed;
     return suppressedCompletions.admits(
-        spec, probed, beside || (placed.isEmpty() && !leased), nowMillis);
+        spec, probed, besideService || (placed.isEmpty() && !leased), nowMillis);
   }
 
   /** Returns whether what runs here is to go on when its leases end. */
@@ -200,7 +200,7 @@
   }
 
   /** Returns what its answers have said so far, for a log line. */
-  String answers() {
+  String answerDetails() {
     return "clock=%d seenEnd=%d acknowledgedEnd=%d"
         .formatted(clock.clockMillis(), lastSeenCompletion, lastAcknowledgedCompletion);
   }
@@ -241,11 +241,11 @@
    * that fills leaves what it may not use to others.
    */
   long leftoverCpu() {
-    long filling =
+    long bestEffortCpu =
         bestEffort()
             .mapToLong(task -> task.spec.need().cpuMillis() * task.pace / Task.FULL_PACE)
             .sum();
-    return free().cpuMillis() - filling + (long) (IDLE_WHILE_SERVING * servingCpu);
+    return free().cpuMillis() - bestEffortCpu + (long) (IDLE_WHILE_SERVING * servingCpu);
   }
 
   /**
@@ -253,18 +253,18 @@
    */
   void answered(long sentMillis) {
     if (sentMillis >= lastPollMillis) {
-      heldLeaseMillis = Math.max(heldLeaseMillis, offeredLeaseMillis);
+      confirmedLeaseEndMillis = Math.max(confirmedLeaseEndMillis, offeredLeaseEndMillis);
     }
   }
 
   /** Returns until when, on our clock, what runs here is known to hold a lease. */
-  long heldLeaseMillis() {
-    return heldLeaseMillis;
+  long confirmedLeaseEndMillis() {
+    return confirmedLeaseEndMillis;
   }
 
   /** Returns when all leases, our own and those of leaders before us, have certainly ended. */
   long leasesEndedMillis() {
-    return Math.max(clock.lastLeaseEndMillis(), inheritedLeaseEndMillis) + LAPSE_MARGIN_MILLIS;
+    return Math.max(clock.lastLeaseEndMillis(), inheritedLeaseEndMillis) + EXPIRY_MARGIN_MILLIS;
   }
 
   /** Returns whether tasks here wait until the leases of this worker, out of touch, have ended. */
--- a/core/src/main/java/org/cottontack/core/job/WorkerClock.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerClock.java
@@ -24,7 +24,7 @@
    * Returns the earliest time, on our clock, at which a life may have begun whose clock said so
    * much in answer to a question that was sent at the given time.
    */
-  static long earliestBirth(long clock, long sentMillis) {
+  static long earliestStartTime(long clock, long sentMillis) {
     return sentMillis - (long) (clock / SLOWEST);
   }
 
--- a/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
@@ -24,12 +24,12 @@
     List<String> labels,
     boolean draining) {
 
-  private static final String NOWHERE = "";
+  private static final String NO_ADDRESS = "";
 
   /** Returns a worker that is known only because work was once given to it. */
-  static WorkerInfo unlisted(WorkerIncarnation life) {
+  static WorkerInfo unlisted(WorkerIncarnation incarnation) {
     return new WorkerInfo(
-        life, "", NOWHERE, new DataCentreId("unknown"), Resources.NONE, List.of(), true);
+        incarnation, "", NO_ADDRESS, new DataCentreId("unknown"), Resources.NONE, List.of(), true);
   }
 
   /** Returns the identifier, which a later life may have as well. */
@@ -38,13 +38,13 @@
   }
 
   /** Returns the same of another life at the same place, of which nothing else is known yet. */
-  WorkerInfo with(WorkerIncarnation next) {
+  WorkerInfo withIncarnation(WorkerIncarnation next) {
     return new WorkerInfo(next, pool, address, dataCentre, capacity, labels, false);
   }
 
   /** Returns whether its address is known. */
   boolean reachable() {
-    return !address.equals(NOWHERE);
+    return !address.equals(NO_ADDRESS);
   }
 
   /** Keeps the list immutable. */
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -41,15 +41,15 @@
     }
     worker.pollInFlight = false;
     if (!worker.incarnation().matchesStartTime(event.report().startTimeMillis())) {
-      fleet.answered(worker, event.report().startTimeMillis(), event.sentMillis());
+      fleet.otherIncarnationAnswered(worker, event.report().startTimeMillis(), event.sentMillis());
       return;
     }
     worker.acknowledgements.answered();
     worker.lateLeases.answered();
     if (!worker.everAnswered) {
-      hideEnds(worker, event);
-      holdEnds(worker, event.report());
-      earlierLives(worker, event.sentMillis());
+      recordSuppressedCompletions(worker, event);
+      restoreDeferredAcknowledgements(worker, event.report());
+      recordEarlierIncarnations(worker, event.sentMillis());
     }
     // From this answer on the worker refuses an earlier leader's orders.
     worker.everAnswered = true;
@@ -64,11 +64,11 @@
             .orElse(0);
     worker.clock.observe(event.report().clockMillis(), term.now.mono());
     event.report().completions().stream()
-        .filter(ended -> ended.number() > worker.lastSeenCompletion)
-        .forEach(ended -> ended(worker, ended));
+        .filter(completion -> completion.number() > worker.lastSeenCompletion)
+        .forEach(completion -> handleCompletion(worker, completion));
     Set<RunKey> listed = new HashSet<>();
-    event.report().running().forEach(running -> listed.add(running(worker, running)));
-    missing(worker, listed, event.sentMillis());
+    event.report().running().forEach(running -> listed.add(handleRunning(worker, running)));
+    releaseMissing(worker, listed, event.sentMillis());
     interference.learn(worker, term.now.mono());
     pacing.adjust(worker, term.now.mono()).forEach(term.effects::add);
     worker.changed();
@@ -83,19 +83,21 @@
   }
 
   /** Takes in which ends a life that answers for the first time may never list. */
-  private void hideEnds(Worker worker, JobEvent.WorkerReported event) {
+  private void recordSuppressedCompletions(Worker worker, JobEvent.WorkerReported event) {
     long leaseEnd = term.now.mono() + Fleet.LONGEST_LEASE_MILLIS;
     term.unlistedSuppressions
         .of(worker.incarnation(), leaseEnd)
-        .ifPresent(ends -> worker.suppressedCompletions = ends);
-    long born = WorkerClock.earliestBirth(event.report().clockMillis(), event.sentMillis());
-    long hidden = worker.acknowledgements.mayHaveReached(worker.incarnation(), born);
-    worker.suppressedCompletions.upTo(hidden);
+        .ifPresent(suppressed -> worker.suppressedCompletions = suppressed);
+    long earliestStartTime =
+        WorkerClock.earliestStartTime(event.report().clockMillis(), event.sentMillis());
+    long suppressedUpTo =
+        worker.acknowledgements.mayHaveReached(worker.incarnation(), earliestStartTime);
+    worker.suppressedCompletions.upTo(suppressedUpTo);
     // What earlier leaders sent, this one does not know.
-    boolean inherited = born < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
-    if (worker.lateLeases.mayHaveReached(born)
+    boolean inherited = earliestStartTime < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
+    if (worker.lateLeases.mayHaveReached(earliestStartTime)
         || inherited
-        || hidden == SuppressedCompletions.ANY) {
+        || suppressedUpTo == SuppressedCompletions.ANY) {
       worker.suppressedCompletions.leasedUntil(leaseEnd);
     }
     if (!worker.suppressedCompletions.none()) {
@@ -106,15 +108,15 @@
   }
 
   /** Takes in which ends of a life that answers for the first time an earlier leader held. */
-  private void holdEnds(Worker worker, WorkerReport report) {
-    DeferredAcknowledgements held = term.unlistedDeferrals.take(worker.incarnation());
+  private void restoreDeferredAcknowledgements(Worker worker, WorkerReport report) {
+    DeferredAcknowledgements deferrals = term.unlistedDeferrals.take(worker.incarnation());
     if (!report.completions().isEmpty()) {
-      worker.deferredAcknowledgements = held;
+      worker.deferredAcknowledgements = deferrals;
     }
   }
 
   /** Takes in that what an earlier leader placed on earlier lives of a worker has ended there. */
-  private void earlierLives(Worker worker, long sentMillis) {
+  private void recordEarlierIncarnations(Worker worker, long sentMillis) {
     List<Task> runs =
         worker.placed.values().stream()
             .filter(task -> !task.worker.equals(worker.incarnation()))
@@ -167,7 +169,7 @@
         });
   }
 
-  private RunKey running(Worker worker, WorkerReport.Running running) {
+  private RunKey handleRunning(Worker worker, WorkerReport.Running running) {
     RunKey key = new RunKey(running.task(), running.run());
     Task task = term.find(running.task());
     if (task == null || !task.runsAs(worker.incarnation(), running.run())) {
@@ -181,7 +183,7 @@
       return key;
     }
     orders.confirm(task);
-    orders.noteCancelled(worker, task, "listed");
+    orders.logCancelledRun(worker, task, "listed");
     task.began = true;
     task.found();
     task.listedMillis = term.now.mono();
@@ -203,41 +205,42 @@
     return key;
   }
 
-  private void ended(Worker worker, WorkerReport.Completion ended) {
-    worker.lastSeenCompletion = ended.number();
+  private void handleCompletion(Worker worker, WorkerReport.Completion completion) {
+    worker.lastSeenCompletion = completion.number();
     worker.suppressedCompletions.listed();
-    worker.deferredAcknowledgements.listed(ended.number());
-    RunKey key = new RunKey(ended.task(), ended.run());
+    worker.deferredAcknowledgements.listed(completion.number());
+    RunKey key = new RunKey(completion.task(), completion.run());
     worker.removeOrphan(key);
     worker.stopsSent.remove(key);
-    Task task = term.find(ended.task());
+    Task task = term.find(completion.task());
     if (task == null) {
       return;
     }
-    boolean inForce = task.runsAs(worker.incarnation(), ended.run());
+    boolean inForce = task.runsAs(worker.incarnation(), completion.run());
     boolean lateButDone =
-        ended.status() == WorkerReport.CompletionStatus.DONE && task.phase == Task.Phase.WAITING;
+        completion.status() == WorkerReport.CompletionStatus.DONE
+            && task.phase == Task.Phase.WAITING;
     if (!inForce && !lateButDone) {
-      doneBefore(worker, task, ended);
+      handleEarlierCompletion(worker, task, completion);
       return;
     }
-    if (ended.status() == WorkerReport.CompletionStatus.DONE && task.wholeAtFullPace()) {
+    if (completion.status() == WorkerReport.CompletionStatus.DONE && task.wholeAtFullPace()) {
       estimates.learn(task.job.spec.queue(), task.spec, term.now.mono() - task.placedMillis);
     }
-    noteEnd(worker, task, ended);
+    logCompletion(worker, task, completion);
     if (inForce && task.spec.is(StepSpec.Trait.FILLS)) {
       worker.residualLoads.add(
           new Worker.ResidualLoad(task.spec.image(), task.load, term.now.mono()));
     }
     task.found();
-    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
-      hold(worker, task, ended);
+    if (completion.status() == WorkerReport.CompletionStatus.DONE) {
+      deferAcknowledgement(worker, task, completion);
     }
     if (inForce) {
       task.barred();
     }
     term.release(task);
-    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
+    if (completion.status() == WorkerReport.CompletionStatus.DONE) {
       // Its worker lived on, so the crashes before had another cause. A failure says nothing: some
       // workers fail all they are given.
       task.forgetCrashes();
@@ -245,22 +248,22 @@
       CrashBlame.endedUndone(List.of(task)).forEach(lifecycle::giveUp);
       term.logPinned(task);
     }
-    if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
+    if (completion.status() == WorkerReport.CompletionStatus.FAILED) {
       worker.failed(task.job.spec.id(), term.now.mono());
       task.failedOn.add(worker.incarnation());
     }
-    task.checkpoint = ended.checkpoint().isEmpty() ? task.checkpoint : ended.checkpoint();
+    task.checkpoint = completion.checkpoint().isEmpty() ? task.checkpoint : completion.checkpoint();
     if (task.spec.is(StepSpec.Trait.LASTS)
         || task.phase == Task.Phase.DONE
         || task.job.phase.terminal()) {
       return;
     }
-    if (ended.status() == WorkerReport.CompletionStatus.DONE) {
+    if (completion.status() == WorkerReport.CompletionStatus.DONE) {
       worker.succeeded();
       task.phase = Task.Phase.DONE;
       term.jobsToPlace.add(task.job);
       lifecycle.settle(task.job);
-    } else if (ended.status() == WorkerReport.CompletionStatus.FAILED) {
+    } else if (completion.status() == WorkerReport.CompletionStatus.FAILED) {
       lifecycle.failed(task);
     }
   }
@@ -269,46 +272,49 @@
    * Takes in an end of a run that is not in force. One that is done makes the run in force,
    * wherever it is, a run beside: it is stopped, and the end is final only when that run is over.
    */
-  private void doneBefore(Worker worker, Task task, WorkerReport.Completion ended) {
+  private void handleEarlierCompletion(
+      Worker worker, Task task, WorkerReport.Completion completion) {
     boolean counts =
-        ended.status() == WorkerReport.CompletionStatus.DONE && !task.spec.is(StepSpec.Trait.LASTS);
+        completion.status() == WorkerReport.CompletionStatus.DONE
+            && !task.spec.is(StepSpec.Trait.LASTS);
     if (!counts || task.phase != Task.Phase.PLACED) {
       return;
     }
-    noteEnd(worker, task, ended);
+    logCompletion(worker, task, completion);
     task.forgetCrashes();
-    task.doneBefore(new Task.EarlierCompletion(worker.incarnation(), ended.number()));
+    task.doneBefore(new Task.EarlierCompletion(worker.incarnation(), completion.number()));
     worker.deferredAcknowledgements.hold(
-        ended.number(), term.now.mono(), DeferredAcknowledgements.UNKNOWN_MILLIS);
+        completion.number(), term.now.mono(), DeferredAcknowledgements.UNKNOWN_MILLIS);
     orders.withdraw(task);
   }
 
-  private void hold(Worker worker, Task task, WorkerReport.Completion ended) {
+  private void deferAcknowledgement(Worker worker, Task task, WorkerReport.Completion completion) {
     long now = term.now.mono();
     task.pinnedForMillis(now)
         .ifPresent(
             millis -> {
-              worker.deferredAcknowledgements.hold(ended.number(), now, millis);
-              term.logEvent("end.held", new RunKey(ended.task(), ended.run()), "millis=" + millis);
+              worker.deferredAcknowledgements.hold(completion.number(), now, millis);
+              term.logEvent(
+                  "end.held", new RunKey(completion.task(), completion.run()), "millis=" + millis);
             });
   }
 
   /** Says how long a run took, and why: a run that is only confirmed now may have begun before. */
-  private void noteEnd(Worker worker, Task task, WorkerReport.Completion ended) {
+  private void logCompletion(Worker worker, Task task, WorkerReport.Completion completion) {
     long ran = term.now.mono() - task.placedMillis;
     String detail =
         "%s %s ran=%d slowed=%d expected=%d"
             .formatted(
                 worker.info.id(),
-                ended.status(),
-                task.run == ended.run() && task.placedMillis > 0 ? ran : 0,
+                completion.status(),
+                task.run == completion.run() && task.placedMillis > 0 ? ran : 0,
                 Math.round(task.slowedMillis(term.now.mono())),
                 estimates.millis(task.job.spec.queue(), task.spec));
-    term.logEvent("run.ended", new RunKey(ended.task(), ended.run()), detail);
+    term.logEvent("run.ended", new RunKey(completion.task(), completion.run()), detail);
   }
 
   /** Releases tasks whose runs the worker, asked after it had confirmed them, does not have. */
-  private void missing(Worker worker, Set<RunKey> listed, long sentMillis) {
+  private void releaseMissing(Worker worker, Set<RunKey> listed, long sentMillis) {
     worker.placed.values().stream()
         .filter(task -> !listed.contains(task.key()))
         .forEach(
@@ -323,7 +329,7 @@
         .forEach(
             task -> {
               boolean maybeDone = worker.suppressedCompletions.vanished(task);
-              String detail = worker.info.id() + " " + worker.answers();
+              String detail = worker.info.id() + " " + worker.answerDetails();
               term.logEvent("run.missing", task.key(), detail + (maybeDone ? " maybeDone" : ""));
               term.release(task);
               term.logPinned(task);
--- a/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
@@ -16,16 +16,16 @@
   private static final JobId ID = new JobId("a");
 
   /** Submits a job whose start stays on its way. */
-  private static JobSimulation withStartOnItsWay() {
-    JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-    lab.delay = effect -> effect instanceof JobEffect.StartRun ? 60_000 : 0;
-    lab.submit(job(ID.value(), step(1, 2, List.of())));
-    lab.run(300);
-    return lab;
+  private static JobSimulation withStartInFlight() {
+    JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+    simulation.delay = effect -> effect instanceof JobEffect.StartRun ? 60_000 : 0;
+    simulation.submit(job(ID.value(), step(1, 2, List.of())));
+    simulation.run(300);
+    return simulation;
   }
 
-  private static List<JobEffect.StartRun> starts(JobSimulation lab) {
-    return lab.seen.stream()
+  private static List<JobEffect.StartRun> starts(JobSimulation simulation) {
+    return simulation.seen.stream()
         .filter(JobEffect.StartRun.class::isInstance)
         .map(JobEffect.StartRun.class::cast)
         .toList();
@@ -36,22 +36,22 @@
 
     /** Guards against a start that leaves after its job was cancelled. */
     @Test
-    public void nothingOfCancelledJobsLeaves() {
-      JobSimulation lab = withStartOnItsWay();
-      JobEffect.StartRun start = starts(lab).get(0);
-      assertTrue(lab.maySend(start));
-      lab.post(new JobEvent.JobCancelled(ID));
-      assertFalse(lab.maySend(start));
+    public void sendsNothingOfCancelledJobs() {
+      JobSimulation simulation = withStartInFlight();
+      JobEffect.StartRun start = starts(simulation).get(0);
+      assertTrue(simulation.maySend(start));
+      simulation.post(new JobEvent.JobCancelled(ID));
+      assertFalse(simulation.maySend(start));
     }
 
     /** Guards against a start that leaves after its task was placed elsewhere. */
     @Test
-    public void nothingLeavesThatIsNoLongerPlacedThere() {
-      JobSimulation lab = withStartOnItsWay();
-      JobEffect.StartRun start = starts(lab).get(0);
+    public void sendsNothingThatIsNoLongerPlacedThere() {
+      JobSimulation simulation = withStartInFlight();
+      JobEffect.StartRun start = starts(simulation).get(0);
       WorkerIncarnation worker = start.target().incarnation();
-      lab.post(new JobEvent.StartEnded(worker, start.run(), StartResult.UNHEALTHY));
-      assertFalse(lab.maySend(start));
+      simulation.post(new JobEvent.StartEnded(worker, start.run(), StartResult.UNHEALTHY));
+      assertFalse(simulation.maySend(start));
     }
   }
 
@@ -63,61 +63,62 @@
 
     /** Returns a lab in which looks have given a worker a lease that lasts. */
     private static JobSimulation withLease(SimulatedWorker worker) {
-      JobSimulation lab = simulation(worker);
-      lab.workMillis = 60_000;
-      lab.submit(job("before", step(1, 2, List.of())));
-      lab.run(2_000);
-      return lab;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("before", step(1, 2, List.of())));
+      simulation.run(2_000);
+      return simulation;
     }
 
-    private static JobEffect.StartRun lastStart(JobSimulation lab) {
-      return starts(lab).get(starts(lab).size() - 1);
+    private static JobEffect.StartRun lastStart(JobSimulation simulation) {
+      return starts(simulation).get(starts(simulation).size() - 1);
     }
 
     /** Guards against a start that is carried out when its job may long be cancelled. */
     @Test
     public void beginsNothingAfterTheBound() {
-      JobSimulation lab = withLease(new SimulatedWorker("w1", 8));
-      lab.delay = effect -> effect instanceof JobEffect.StartRun ? BOUND_MILLIS + 100 : 0;
-      lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
-      lab.submit(job(ID.value(), step(1, 2, List.of())));
-      lab.run(4_000);
-      assertEquals(lab.starts(), 1);
-      lab.delay = effect -> 0;
-      lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 2);
+      JobSimulation simulation = withLease(new SimulatedWorker("w1", 8));
+      simulation.delay = effect -> effect instanceof JobEffect.StartRun ? BOUND_MILLIS + 100 : 0;
+      simulation.post(new JobEvent.StartsBounded(simulation.now + BOUND_MILLIS));
+      simulation.submit(job(ID.value(), step(1, 2, List.of())));
+      simulation.run(4_000);
+      assertEquals(simulation.starts(), 1);
+      simulation.delay = effect -> 0;
+      simulation.post(new JobEvent.StartsBounded(simulation.now + BOUND_MILLIS));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 2);
     }
 
     /** Guards against runs that end with a short bound since they hold no other lease. */
     @Test
-    public void bringsLeasesToIdleWorkers() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
-      lab.submit(job(ID.value(), step(1, 2, List.of())));
-      lab.run(100);
-      assertTrue(lastStart(lab).deadlineMillis() > lab.now + LONG_LEASE_MILLIS);
+    public void grantsLeasesToIdleWorkers() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.post(new JobEvent.StartsBounded(simulation.now + BOUND_MILLIS));
+      simulation.submit(job(ID.value(), step(1, 2, List.of())));
+      simulation.run(100);
+      assertTrue(lastStart(simulation).deadlineMillis() > simulation.now + LONG_LEASE_MILLIS);
     }
 
     /** Guards against trust in a lease that a look brings which no answer has confirmed. */
     @Test
-    public void bringsLeasesWhereLooksAreUnanswered() {
+    public void grantsLeasesWherePollsAreUnanswered() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
-      lab.run(3_000);
-      final long asked = lab.now;
-      lab.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
-      for (int before = lab.seen.size(); lab.seen.size() == before; ) {
-        lab.run(10);
+      JobSimulation simulation = simulation(worker);
+      simulation.run(3_000);
+      final long sentMillis = simulation.now;
+      simulation.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
+      for (int before = simulation.seen.size(); simulation.seen.size() == before; ) {
+        simulation.run(10);
       }
       WorkerReport overtaken =
           new WorkerReport(
-              worker.info.incarnation().startTimeMillis(), asked, List.of(), List.of());
-      lab.post(new JobEvent.WorkerReported(worker.info.incarnation(), asked, overtaken));
-      lab.post(new JobEvent.StartsBounded(lab.now + BOUND_MILLIS));
-      lab.submit(job(ID.value(), step(1, 2, List.of())));
-      lab.run(100);
-      assertTrue(lastStart(lab).deadlineMillis() > lab.now + LONG_LEASE_MILLIS);
+              worker.info.incarnation().startTimeMillis(), sentMillis, List.of(), List.of());
+      simulation.post(
+          new JobEvent.WorkerReported(worker.info.incarnation(), sentMillis, overtaken));
+      simulation.post(new JobEvent.StartsBounded(simulation.now + BOUND_MILLIS));
+      simulation.submit(job(ID.value(), step(1, 2, List.of())));
+      simulation.run(100);
+      assertTrue(lastStart(simulation).deadlineMillis() > simulation.now + LONG_LEASE_MILLIS);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
@@ -61,7 +61,7 @@
 
     /** A run that lives on a while beside one that has just begun is hardly the cause. */
     @Test
-    public void sparesTheListedBesideOneThatJustBegan() {
+    public void blamesNoListedRunBesideOneThatJustBegan() {
       Task task = listed(placed("a", 2), 300);
       Task other = placed("b", 1);
       CrashBlame.crashed(List.of(task, other));
@@ -79,7 +79,7 @@
 
     /** Lasting runs see many workers crash in a day. */
     @Test
-    public void ignoresLastingRunsThatWereAtWork() {
+    public void ignoresLongRunningTasksThatWereListed() {
       Task task = listed(placed("a", 2, StepSpec.Trait.LASTS), 1_500);
       CrashBlame.crashed(List.of(task));
       assertEquals(List.of(task.crashes, task.blamed), List.of(2, 0));
@@ -87,7 +87,7 @@
   }
 
   /** Who is given up. */
-  public static class GivingUp {
+  public static class Abandoning {
 
     @Test
     public void afterItWasBlamedTwice() {
@@ -114,9 +114,9 @@
       return worker;
     }
 
-    private static boolean hasPlace(Task task, Worker worker) {
-      WorkerSelector placement = new WorkerSelector(new LearnedInterference());
-      return placement.choose(task, QUEUE, List.of(worker), 0).isPresent();
+    private static boolean canBePlaced(Task task, Worker worker) {
+      WorkerSelector workerSelector = new WorkerSelector(new LearnedInterference());
+      return workerSelector.choose(task, QUEUE, List.of(worker), 0).isPresent();
     }
 
     /**
@@ -126,13 +126,13 @@
     @Test
     public void keepsSuspectsApart() {
       Task suspect = placed("a", 2);
-      assertTrue(hasPlace(suspect, worker(placed("b", 1))));
-      assertEquals(hasPlace(suspect, worker(placed("b", 2))), false);
+      assertTrue(canBePlaced(suspect, worker(placed("b", 1))));
+      assertEquals(canBePlaced(suspect, worker(placed("b", 2))), false);
     }
 
     @Test
-    public void letsOthersJoin() {
-      assertTrue(hasPlace(placed("a", 1), worker(placed("b", 2))));
+    public void placesOtherTasksBesideSuspects() {
+      assertTrue(canBePlaced(placed("a", 1), worker(placed("b", 2))));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
@@ -32,38 +32,39 @@
   }
 
   /** Submits a job whose first task ends its worker's life after a while. */
-  private static void submitFatal(JobSimulation lab, int tasks, long livesMillis) {
-    lab.fatal.put(FATAL, livesMillis);
-    lab.submit(job("bad", step(tasks, 2, List.of())));
+  private static void submitFatal(JobSimulation simulation, int tasks, long survivesMillis) {
+    simulation.fatal.put(FATAL, survivesMillis);
+    simulation.submit(job("bad", step(tasks, 2, List.of())));
   }
 
-  private static void assertGivenUp(JobSimulation lab) {
-    assertTrue(lab.startsOf(FATAL) <= MOST_STARTS, "starts: " + lab.startsOf(FATAL));
-    assertEquals(lab.phase(FATAL.job()), JobPhase.FAILED);
+  private static void assertAbandoned(JobSimulation simulation) {
+    assertTrue(simulation.startsOf(FATAL) <= MOST_STARTS, "starts: " + simulation.startsOf(FATAL));
+    assertEquals(simulation.phase(FATAL.job()), JobPhase.FAILED);
   }
 
   /** Lets time pass until the fatal task was started so often, 20 s at most. */
-  private static void untilStarts(JobSimulation lab, long starts) {
-    for (int i = 0; i < 2_000 && lab.startsOf(FATAL) < starts; i++) {
-      lab.run(10);
+  private static void runUntilStarted(JobSimulation simulation, long starts) {
+    for (int i = 0; i < 2_000 && simulation.startsOf(FATAL) < starts; i++) {
+      simulation.run(10);
     }
   }
 
   /** Lets time pass while jobs of four tasks come every 300 ms; returns them. */
-  private static List<JobSpec> others(JobSimulation lab, int count) {
+  private static List<JobSpec> others(JobSimulation simulation, int count) {
     return IntStream.range(0, count)
         .mapToObj(
             i -> {
               JobSpec other = job("other" + i, step(4, 2, List.of()));
-              lab.submit(other);
-              lab.run(300);
+              simulation.submit(other);
+              simulation.run(300);
               return other;
             })
         .toList();
   }
 
-  private static void assertComplete(JobSimulation lab, Stream<JobSpec> jobs) {
-    jobs.forEach(job -> assertEquals(lab.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
+  private static void assertComplete(JobSimulation simulation, Stream<JobSpec> jobs) {
+    jobs.forEach(
+        job -> assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
   }
 
   /** A task that crashes its worker. */
@@ -71,178 +72,181 @@
 
     /** Guards against a task that crashes one worker after the other without end. */
     @Test
-    public void givesUpTasksThatCrashTheirWorkers() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 3, 10);
-      final List<JobSpec> others = others(lab, 100);
-      lab.run(20_000);
-      assertGivenUp(lab);
-      assertComplete(lab, others.stream());
+    public void abandonsTasksThatCrashTheirWorkers() {
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 3, 10);
+      final List<JobSpec> others = others(simulation, 100);
+      simulation.run(20_000);
+      assertAbandoned(simulation);
+      assertComplete(simulation, others.stream());
     }
 
     /** Guards against blaming the last task to start where the cause had run for a while. */
     @Test
-    public void givesUpTasksThatCrashTheirWorkersLater() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 3, 250);
-      final List<JobSpec> others = others(lab, 100);
-      lab.run(20_000);
-      assertGivenUp(lab);
-      assertComplete(lab, others.stream());
+    public void abandonsTasksThatCrashTheirWorkersLater() {
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 3, 250);
+      final List<JobSpec> others = others(simulation, 100);
+      simulation.run(20_000);
+      assertAbandoned(simulation);
+      assertComplete(simulation, others.stream());
     }
 
     /** Guards against crashes that go uncounted while the list still holds the dead worker. */
     @Test
     public void countsCrashesOfWorkersThatAreStillListed() {
-      JobSimulation lab = fleet(6, 16);
-      lab.listsCrashedWorkers = true;
-      submitFatal(lab, 3, 10);
-      lab.run(40_000);
-      assertGivenUp(lab);
+      JobSimulation simulation = fleet(6, 16);
+      simulation.listsCrashedWorkers = true;
+      submitFatal(simulation, 3, 10);
+      simulation.run(40_000);
+      assertAbandoned(simulation);
     }
 
     /** Guards against a failed run that begins the count of crashes anew. */
     @Test
-    public void countsOnAfterRunThatItsWorkerFailed() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 1, 10);
-      untilStarts(lab, 2);
-      lab.run(100);
-      lab.fatal.remove(FATAL);
-      untilStarts(lab, 3);
-      lab.fatal.put(FATAL, 10L);
-      lab.fails = true;
-      lab.run(600);
-      lab.fails = false;
-      lab.run(40_000);
-      assertGivenUp(lab);
+    public void keepsCountAfterFailedRun() {
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 1, 10);
+      runUntilStarted(simulation, 2);
+      simulation.run(100);
+      simulation.fatal.remove(FATAL);
+      runUntilStarted(simulation, 3);
+      simulation.fatal.put(FATAL, 10L);
+      simulation.fails = true;
+      simulation.run(600);
+      simulation.fails = false;
+      simulation.run(40_000);
+      assertAbandoned(simulation);
     }
 
     /** Guards against starts without end where runs are stopped after three crashes. */
     @Test
     public void startsNoSixthTimeHoweverRunsEnd() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 1, 250);
-      untilStarts(lab, 3);
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 1, 250);
+      runUntilStarted(simulation, 3);
       for (int starts = 4; starts < 9; starts++) {
-        untilStarts(lab, starts);
-        lab.run(100);
-        lab.workers
+        runUntilStarted(simulation, starts);
+        simulation.run(100);
+        simulation
+            .workers
             .values()
             .forEach(worker -> worker.runs().forEach(run -> worker.stop(run, worker.token)));
       }
-      lab.run(20_000);
-      assertGivenUp(lab);
+      simulation.run(20_000);
+      assertAbandoned(simulation);
     }
 
     /** Guards against a count of crashes that each leader begins anew. */
     @Test
     public void countsOverTakeovers() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 1, 10);
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 1, 10);
       for (int i = 0; i < 8; i++) {
-        lab.run(7_500);
-        lab.killLeader();
-        lab.run(500);
-        lab.takeOver();
+        simulation.run(7_500);
+        simulation.killLeader();
+        simulation.run(500);
+        simulation.takeOver();
       }
-      lab.run(20_000);
-      assertGivenUp(lab);
+      simulation.run(20_000);
+      assertAbandoned(simulation);
     }
   }
 
   /** Leaders that die when the worker does. */
-  public static class Unseen {
+  public static class UnobservedCrashes {
 
     /** Guards against crashes that no leader saw, since it died with the worker. */
     @Test
     public void countsCrashesBeforeTheTerm() {
-      JobSimulation lab = fleet(6, 16);
-      submitFatal(lab, 1, 10);
+      JobSimulation simulation = fleet(6, 16);
+      submitFatal(simulation, 1, 10);
       for (int i = 0; i < 8; i++) {
-        untilStarts(lab, lab.startsOf(FATAL) + 1);
-        lab.killLeader();
-        lab.run(3_500);
-        lab.takeOver();
+        runUntilStarted(simulation, simulation.startsOf(FATAL) + 1);
+        simulation.killLeader();
+        simulation.run(3_500);
+        simulation.takeOver();
       }
-      lab.run(20_000);
-      assertGivenUp(lab);
+      simulation.run(20_000);
+      assertAbandoned(simulation);
     }
   }
 
   /**
    * Tasks that were only beside one that crashes workers, or on workers that crash by themselves.
    */
-  public static class Beside {
+  public static class Neighbours {
 
     /** Guards against giving up jobs whose workers crash for reasons of their own. */
     @Test
-    public void nothingIsGivenUpWhereWorkersCrashByThemselves() {
-      JobSimulation lab = fleet(12, 16);
-      JobSpec lasting = job("lasting", step(12, 4, List.of(), StepSpec.Trait.LASTS));
-      lab.submit(lasting);
+    public void nothingIsAbandonedWhereWorkersCrashByThemselves() {
+      JobSimulation simulation = fleet(12, 16);
+      JobSpec longRunning = job("lasting", step(12, 4, List.of(), StepSpec.Trait.LASTS));
+      simulation.submit(longRunning);
       Random random = new Random(7);
       List<JobSpec> others =
           IntStream.range(0, 60)
               .mapToObj(
                   i -> {
                     JobSpec other = job("other" + i, step(6, 2, List.of()));
-                    lab.submit(other);
-                    lab.run(1_000);
+                    simulation.submit(other);
+                    simulation.run(1_000);
                     List<SimulatedWorker> alive =
-                        lab.workers.values().stream().filter(worker -> !worker.dead).toList();
-                    lab.crash(alive.get(random.nextInt(alive.size())));
+                        simulation.workers.values().stream()
+                            .filter(worker -> !worker.dead)
+                            .toList();
+                    simulation.crash(alive.get(random.nextInt(alive.size())));
                     return other;
                   })
               .toList();
-      lab.run(20_000);
-      assertComplete(lab, others.stream());
-      assertEquals(lab.phase(lasting.id()), JobPhase.RUNNING);
+      simulation.run(20_000);
+      assertComplete(simulation, others.stream());
+      assertEquals(simulation.phase(longRunning.id()), JobPhase.RUNNING);
     }
 
     /** Guards against taking what has just started on a lost rack for the cause. */
     @Test
-    public void nothingIsGivenUpWhereRacksAreLost() {
-      JobSimulation lab = fleet(6, 16);
-      lab.workMillis = 3_000;
+    public void nothingIsAbandonedWhereRacksAreLost() {
+      JobSimulation simulation = fleet(6, 16);
+      simulation.workMillis = 3_000;
       List<JobSpec> others =
           IntStream.range(0, 8).mapToObj(i -> job("other" + i, step(4, 2, List.of()))).toList();
-      others.forEach(lab::submit);
+      others.forEach(simulation::submit);
       for (int i = 0; i < 3; i++) {
-        lab.run(700);
-        lab.workers.values().stream()
+        simulation.run(700);
+        simulation.workers.values().stream()
             .filter(worker -> !worker.dead)
             .limit(4)
             .toList()
-            .forEach(lab::crash);
-        lab.run(3_100);
+            .forEach(simulation::crash);
+        simulation.run(3_100);
       }
-      lab.run(30_000);
-      assertComplete(lab, others.stream());
+      simulation.run(30_000);
+      assertComplete(simulation, others.stream());
     }
 
     /** A lasting task beside one that crashes workers runs on, wherever both meet. */
     @Test
-    public void lastingTasksRunOnBesideFatalOnes() {
-      JobSimulation lab = fleet(2, 16);
-      lab.workMillis = 200_000;
-      JobSpec lasting = job("lasting", step(2, 6, List.of(), StepSpec.Trait.LASTS));
-      lab.submit(lasting);
-      lab.run(1_000);
-      lab.fatal.put(FATAL, 10L);
-      lab.submit(job("bad", step(1, 2, List.of())));
-      lab.run(60_000);
-      assertNotEquals(lab.phase(lasting.id()), JobPhase.FAILED);
-      assertEquals(lab.workers.values().stream().mapToLong(w -> w.runs().size()).sum(), 2);
+    public void longRunningTasksContinueBesideFatalOnes() {
+      JobSimulation simulation = fleet(2, 16);
+      simulation.workMillis = 200_000;
+      JobSpec longRunning = job("lasting", step(2, 6, List.of(), StepSpec.Trait.LASTS));
+      simulation.submit(longRunning);
+      simulation.run(1_000);
+      simulation.fatal.put(FATAL, 10L);
+      simulation.submit(job("bad", step(1, 2, List.of())));
+      simulation.run(60_000);
+      assertNotEquals(simulation.phase(longRunning.id()), JobPhase.FAILED);
+      assertEquals(simulation.workers.values().stream().mapToLong(w -> w.runs().size()).sum(), 2);
     }
   }
 
   /** Fatal tasks, workers that crash by themselves and leaders that die, all at once. */
-  public static class Storm {
+  public static class FaultInjection {
 
     private static final int SEEDS = 8;
     private static final int SECONDS = 40;
-    private static final List<Long> LIVES = List.of(10L, 150L, 400L);
+    private static final List<Long> SURVIVAL_MILLIS = List.of(10L, 150L, 400L);
 
     @DataProvider
     static Iterator<Object[]> seeds() {
@@ -253,44 +257,45 @@
       return TaskName.parse("bad%d.0.0.%d".formatted(job, job));
     }
 
-    private static void disturb(JobSimulation lab, Random random) {
+    private static void injectFaults(JobSimulation simulation, Random random) {
       if (random.nextInt(3) == 0) {
         List<SimulatedWorker> alive =
-            lab.workers.values().stream().filter(worker -> !worker.dead).toList();
-        lab.crash(alive.get(random.nextInt(alive.size())));
+            simulation.workers.values().stream().filter(worker -> !worker.dead).toList();
+        simulation.crash(alive.get(random.nextInt(alive.size())));
       }
       if (random.nextInt(15) == 0) {
-        lab.killLeader();
-        lab.run(2_500);
-        lab.takeOver();
+        simulation.killLeader();
+        simulation.run(2_500);
+        simulation.takeOver();
       }
     }
 
     /** Guards against a sixth start, and against giving up neighbours, beside other faults. */
     @Test(dataProvider = "seeds")
-    public void onlyFatalTasksAreGivenUp(int seed) {
+    public void onlyFatalTasksAreAbandoned(int seed) {
       Random random = new Random(seed);
-      JobSimulation lab = fleet(12, 16);
+      JobSimulation simulation = fleet(12, 16);
       List<JobSpec> bad =
-          IntStream.range(0, LIVES.size())
+          IntStream.range(0, SURVIVAL_MILLIS.size())
               .mapToObj(i -> job("bad" + i, step(4, 2, List.of())))
               .toList();
-      IntStream.range(0, LIVES.size()).forEach(i -> lab.fatal.put(fatal(i), LIVES.get(i)));
-      bad.forEach(lab::submit);
+      IntStream.range(0, SURVIVAL_MILLIS.size())
+          .forEach(i -> simulation.fatal.put(fatal(i), SURVIVAL_MILLIS.get(i)));
+      bad.forEach(simulation::submit);
       List<JobSpec> others = new ArrayList<>();
       for (int second = 0; second < SECONDS; second++) {
         others.add(job("other" + second, step(6, 2, List.of())));
-        lab.submit(others.get(second));
-        lab.run(1_000);
-        disturb(lab, random);
+        simulation.submit(others.get(second));
+        simulation.run(1_000);
+        injectFaults(simulation, random);
       }
-      lab.run(15_000);
+      simulation.run(15_000);
       for (int i = 0; i < bad.size(); i++) {
-        long starts = lab.startsOf(fatal(i));
+        long starts = simulation.startsOf(fatal(i));
         assertTrue(starts <= MOST_STARTS, fatal(i) + " starts " + starts);
-        assertEquals(lab.phase(bad.get(i).id()), JobPhase.FAILED);
+        assertEquals(simulation.phase(bad.get(i).id()), JobPhase.FAILED);
       }
-      assertComplete(lab, others.stream());
+      assertComplete(simulation, others.stream());
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
@@ -25,8 +25,8 @@
     return effect instanceof JobEffect.StartRun;
   }
 
-  private static long notes(JobSimulation lab, String name) {
-    return lab.seen.stream()
+  private static long countLogEvents(JobSimulation simulation, String name) {
+    return simulation.seen.stream()
         .filter(JobEffect.Note.class::isInstance)
         .map(JobEffect.Note.class::cast)
         .filter(note -> note.name().equals(name))
@@ -41,68 +41,68 @@
     public void placesNothingThere() {
       SimulatedWorker there = in("a", "w1");
       SimulatedWorker elsewhere = in("b", "w2");
-      JobSimulation lab = simulation(there, elsewhere);
-      lab.evacuate("a");
-      lab.submit(job("j", step(12, 2, List.of())));
-      lab.run(400);
+      JobSimulation simulation = simulation(there, elsewhere);
+      simulation.evacuate("a");
+      simulation.submit(job("j", step(12, 2, List.of())));
+      simulation.run(400);
       assertEquals(there.count(), 0);
       assertEquals(elsewhere.count(), 4);
-      lab.run(3_000);
-      assertEquals(lab.phase(new JobId("j")), JobPhase.COMPLETE);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(new JobId("j")), JobPhase.COMPLETE);
     }
 
     /** Guards against an order that leaves once its placement is saved, after the request. */
     @Test
     public void sendsNothingThatWaitedForTheStore() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there, in("b", "w2"));
-      lab.storeUnavailable = true;
-      lab.submit(job("j", step(8, 2, List.of())));
-      lab.run(100);
-      lab.evacuate("a");
-      lab.restoreStore();
-      lab.run(4_000);
+      JobSimulation simulation = simulation(there, in("b", "w2"));
+      simulation.storeUnavailable = true;
+      simulation.submit(job("j", step(8, 2, List.of())));
+      simulation.run(100);
+      simulation.evacuate("a");
+      simulation.restoreStore();
+      simulation.run(4_000);
       assertEquals(there.starts.size(), 0);
-      assertEquals(lab.phase(new JobId("j")), JobPhase.COMPLETE);
+      assertEquals(simulation.phase(new JobId("j")), JobPhase.COMPLETE);
     }
 
     /** Guards against an unanswered order that is sent again after the request. */
     @Test
-    public void sendsNothingAgain() {
+    public void resendsNothing() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there);
-      lab.workMillis = 60_000;
-      lab.lost = EvacuationTest::isStart;
-      lab.late = EvacuationTest::isStart;
-      lab.submit(job("j", step(1, 2, List.of())));
-      lab.run(500);
-      lab.evacuate("a");
-      lab.run(6_000);
+      JobSimulation simulation = simulation(there);
+      simulation.workMillis = 60_000;
+      simulation.lost = EvacuationTest::isStart;
+      simulation.late = EvacuationTest::isStart;
+      simulation.submit(job("j", step(1, 2, List.of())));
+      simulation.run(500);
+      simulation.evacuate("a");
+      simulation.run(6_000);
       assertEquals(there.count(), 0);
-      lab.lost = effect -> false;
-      lab.late = effect -> false;
-      lab.evacuate();
-      lab.run(1_000);
+      simulation.lost = effect -> false;
+      simulation.late = effect -> false;
+      simulation.evacuate();
+      simulation.run(1_000);
       assertEquals(there.count(), 1);
     }
 
     /** Guards against starts on the next life of a worker there, under either identifier. */
     @Test
-    public void nextLifeGetsNothing() {
+    public void nextIncarnationGetsNothing() {
       for (boolean keepsIds : new boolean[] {false, true}) {
-        JobSimulation lab = simulation(in("a", "w1"), in("a", "w2"));
-        lab.keepsIds = keepsIds;
-        lab.workMillis = 60_000;
-        lab.submit(job("j", step(4, 2, List.of())));
-        lab.run(500);
-        lab.evacuate("a");
-        int before = lab.starts();
-        List.copyOf(lab.workers.values()).forEach(lab::crash);
-        lab.run(15_000);
-        assertEquals(lab.starts(), before);
-        lab.evacuate();
-        lab.run(1_000);
-        assertEquals(lab.starts(), before + 4);
+        JobSimulation simulation = simulation(in("a", "w1"), in("a", "w2"));
+        simulation.keepsIds = keepsIds;
+        simulation.workMillis = 60_000;
+        simulation.submit(job("j", step(4, 2, List.of())));
+        simulation.run(500);
+        simulation.evacuate("a");
+        int before = simulation.starts();
+        List.copyOf(simulation.workers.values()).forEach(simulation::crash);
+        simulation.run(15_000);
+        assertEquals(simulation.starts(), before);
+        simulation.evacuate();
+        simulation.run(1_000);
+        assertEquals(simulation.starts(), before + 4);
       }
     }
 
@@ -110,48 +110,48 @@
     @Test
     public void nextLeaderStartsNothingThere() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there);
-      lab.evacuate("a");
-      lab.submit(job("j", step(2, 2, List.of())));
-      lab.run(500);
-      lab.killLeader();
-      lab.run(2_000);
-      lab.takeOver();
-      lab.table(JobFixtures.TABLE);
-      lab.run(2_000);
-      assertEquals(lab.starts(), 0);
-      lab.evacuate();
-      lab.run(500);
-      assertEquals(lab.starts(), 2);
+      JobSimulation simulation = simulation(there);
+      simulation.evacuate("a");
+      simulation.submit(job("j", step(2, 2, List.of())));
+      simulation.run(500);
+      simulation.killLeader();
+      simulation.run(2_000);
+      simulation.takeOver();
+      simulation.table(JobFixtures.TABLE);
+      simulation.run(2_000);
+      assertEquals(simulation.starts(), 0);
+      simulation.evacuate();
+      simulation.run(500);
+      assertEquals(simulation.starts(), 2);
     }
 
     /** Guards against a run that fails there and is tried again there. */
     @Test
     public void triesAgainElsewhere() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there);
-      lab.submit(job("j", step(1, 2, List.of())));
-      lab.run(300);
-      lab.evacuate("a");
+      JobSimulation simulation = simulation(there);
+      simulation.submit(job("j", step(1, 2, List.of())));
+      simulation.run(300);
+      simulation.evacuate("a");
       there.failsAll = true;
-      lab.run(1_000);
-      assertEquals(lab.starts(), 1);
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 1);
     }
 
     /** Guards against starts there after other evacuations begin and end. */
     @Test
     public void otherEvacuationsChangeNothing() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there, in("b", "w2"));
-      lab.evacuate("a");
-      lab.evacuate("a", "b");
-      lab.submit(job("j", step(2, 2, List.of())));
-      lab.run(2_000);
-      assertEquals(lab.starts(), 0);
-      lab.evacuate("a", "nowhere");
-      lab.run(1_000);
+      JobSimulation simulation = simulation(there, in("b", "w2"));
+      simulation.evacuate("a");
+      simulation.evacuate("a", "b");
+      simulation.submit(job("j", step(2, 2, List.of())));
+      simulation.run(2_000);
+      assertEquals(simulation.starts(), 0);
+      simulation.evacuate("a", "nowhere");
+      simulation.run(1_000);
       assertEquals(there.starts.size(), 0);
-      assertEquals(lab.phase(new JobId("j")), JobPhase.COMPLETE);
+      assertEquals(simulation.phase(new JobId("j")), JobPhase.COMPLETE);
     }
   }
 
@@ -160,51 +160,51 @@
 
     /** Guards against users who lose a service that could have gone on. */
     @Test
-    public void goesOn() {
+    public void keepsRunning() {
       SimulatedWorker there = in("a", "w1");
-      JobSimulation lab = simulation(there, in("b", "w2"));
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(4, 2, List.of(), StepSpec.Trait.LASTS)));
-      lab.submit(job("j", step(4, 2, List.of())));
-      lab.run(500);
+      JobSimulation simulation = simulation(there, in("b", "w2"));
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(4, 2, List.of(), StepSpec.Trait.LASTS)));
+      simulation.submit(job("j", step(4, 2, List.of())));
+      simulation.run(500);
       final int before = there.count();
       assertTrue(before > 0);
-      lab.evacuate("a");
-      lab.run(20_000);
+      simulation.evacuate("a");
+      simulation.run(20_000);
       assertEquals(there.count(), before);
-      assertEquals(lab.starts(), 8);
+      assertEquals(simulation.starts(), 8);
     }
 
     /** Guards against a lasting task that is stopped for a place which it may not have. */
     @Test
-    public void drainingWorkersTasksStayWhereOnlyEvacuatedRoomIsLeft() {
+    public void tasksOfDrainingWorkersStayWhereOnlyEvacuatedCapacityIsLeft() {
       SimulatedWorker drains = in("b", "w1");
-      JobSimulation lab = simulation(drains);
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(500);
+      JobSimulation simulation = simulation(drains);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(500);
       SimulatedWorker there = in("a", "w2");
-      lab.workers.put(there.info.id(), there);
-      lab.evacuate("a");
-      lab.post(new JobEvent.WorkerSeen(there.info));
-      lab.post(JobSimulation.draining(drains));
-      lab.run(3_000);
+      simulation.workers.put(there.info.id(), there);
+      simulation.evacuate("a");
+      simulation.post(new JobEvent.WorkerSeen(there.info));
+      simulation.post(JobSimulation.draining(drains));
+      simulation.run(3_000);
       assertEquals(drains.count(), 1);
     }
 
     /** Guards against operators who cannot tell when a data centre is empty. */
     @Test
-    public void isTold() {
-      JobSimulation lab = simulation(in("a", "w1"));
-      lab.submit(job("j", step(1, 2, List.of())));
-      lab.run(200);
-      lab.evacuate("a");
-      lab.run(5_000);
-      lab.evacuate();
-      lab.run(100);
-      assertEquals(notes(lab, "evacuation.seen"), 1);
-      assertTrue(notes(lab, "evacuation.left") > 0);
-      assertEquals(notes(lab, "evacuation.ended"), 1);
+    public void isLogged() {
+      JobSimulation simulation = simulation(in("a", "w1"));
+      simulation.submit(job("j", step(1, 2, List.of())));
+      simulation.run(200);
+      simulation.evacuate("a");
+      simulation.run(5_000);
+      simulation.evacuate();
+      simulation.run(100);
+      assertEquals(countLogEvents(simulation, "evacuation.seen"), 1);
+      assertTrue(countLogEvents(simulation, "evacuation.left") > 0);
+      assertEquals(countLogEvents(simulation, "evacuation.ended"), 1);
     }
   }
 
@@ -217,30 +217,30 @@
 
     /** Guards against services that take the last room of short tasks since empty workers count. */
     @Test
-    public void roomThereIsNoneOfThePool() {
+    public void evacuatedCapacityDoesNotCountForThePool() {
       SimulatedWorker rest = in("b", "w2");
-      JobSimulation lab = simulation(rest);
-      lab.workMillis = 1_000;
-      lab.submit(job("short", step(3, 1, List.of())));
-      lab.run(1_500);
-      lab.workMillis = 60_000;
-      lab.submit(service("first", 5, 1));
-      lab.run(500);
+      JobSimulation simulation = simulation(rest);
+      simulation.workMillis = 1_000;
+      simulation.submit(job("short", step(3, 1, List.of())));
+      simulation.run(1_500);
+      simulation.workMillis = 60_000;
+      simulation.submit(service("first", 5, 1));
+      simulation.run(500);
       SimulatedWorker there = in("a", "w1");
-      lab.workers.put(there.info.id(), there);
-      lab.evacuate("a");
-      lab.post(new JobEvent.WorkerSeen(there.info));
-      lab.submit(service("second", 1, 3));
-      lab.run(2_000);
+      simulation.workers.put(there.info.id(), there);
+      simulation.evacuate("a");
+      simulation.post(new JobEvent.WorkerSeen(there.info));
+      simulation.submit(service("second", 1, 3));
+      simulation.run(2_000);
       assertEquals(rest.count(), 5);
-      lab.evacuate();
-      lab.run(500);
+      simulation.evacuate();
+      simulation.run(500);
       assertEquals(rest.count() + there.count(), 6);
     }
   }
 
   /** Evacuations among other troubles. */
-  public static class Storm {
+  public static class FaultInjection {
 
     /** Seeds of the troubles. */
     @DataProvider
@@ -256,50 +256,50 @@
           IntStream.range(0, 6)
               .mapToObj(i -> in("dc" + i % 3, "w" + i))
               .toArray(SimulatedWorker[]::new);
-      JobSimulation lab = simulation(workers);
-      lab.keepsIds = random.nextBoolean();
-      lab.lost = effect -> random.nextInt(20) == 0;
+      JobSimulation simulation = simulation(workers);
+      simulation.keepsIds = random.nextBoolean();
+      simulation.lost = effect -> random.nextInt(20) == 0;
       for (int round = 0; round < 40; round++) {
-        lab.submit(job("j" + round, step(1 + random.nextInt(6), 2, List.of())));
-        trouble(lab, random);
-        lab.run(100 + random.nextInt(900));
+        simulation.submit(job("j" + round, step(1 + random.nextInt(6), 2, List.of())));
+        injectFault(simulation, random);
+        simulation.run(100 + random.nextInt(900));
       }
-      lab.evacuate();
-      lab.restoreStore();
-      lab.lost = effect -> false;
-      lab.run(30_000);
+      simulation.evacuate();
+      simulation.restoreStore();
+      simulation.lost = effect -> false;
+      simulation.run(30_000);
       long open =
           IntStream.range(0, 40)
-              .mapToObj(round -> lab.phase(new JobId("j" + round)))
+              .mapToObj(round -> simulation.phase(new JobId("j" + round)))
               .filter(phase -> phase != JobPhase.COMPLETE)
               .count();
       assertEquals(open, 0);
-      assertFalse(lab.seen.isEmpty());
+      assertFalse(simulation.seen.isEmpty());
     }
 
-    private static void trouble(JobSimulation lab, Random random) {
+    private static void injectFault(JobSimulation simulation, Random random) {
       switch (random.nextInt(6)) {
-        case 0 -> lab.evacuate("dc" + random.nextInt(3));
-        case 1 -> lab.evacuate("dc0", "dc" + (1 + random.nextInt(2)));
-        case 2 -> lab.evacuate();
+        case 0 -> simulation.evacuate("dc" + random.nextInt(3));
+        case 1 -> simulation.evacuate("dc0", "dc" + (1 + random.nextInt(2)));
+        case 2 -> simulation.evacuate();
         case 3 -> {
-          List<SimulatedWorker> all = List.copyOf(lab.workers.values());
+          List<SimulatedWorker> all = List.copyOf(simulation.workers.values());
           SimulatedWorker any = all.get(random.nextInt(all.size()));
           if (!any.dead) {
-            lab.crash(any);
+            simulation.crash(any);
           }
         }
         case 4 -> {
-          lab.killLeader();
-          lab.run(random.nextInt(2_000));
-          lab.restoreStore();
-          lab.takeOver();
-          lab.table(JobFixtures.TABLE);
+          simulation.killLeader();
+          simulation.run(random.nextInt(2_000));
+          simulation.restoreStore();
+          simulation.takeOver();
+          simulation.table(JobFixtures.TABLE);
         }
         default -> {
-          lab.storeUnavailable = true;
-          lab.run(random.nextInt(1_500));
-          lab.restoreStore();
+          simulation.storeUnavailable = true;
+          simulation.run(random.nextInt(1_500));
+          simulation.restoreStore();
         }
       }
     }
--- a/core/src/test/java/org/cottontack/core/job/JobFixtures.java
+++ b/core/src/test/java/org/cottontack/core/job/JobFixtures.java
@@ -41,34 +41,35 @@
   }
 
   static JobSimulation simulation(SimulatedWorker... workers) {
-    JobSimulation lab = new JobSimulation(workers);
-    lab.table(TABLE);
-    lab.run(200);
-    return lab;
+    JobSimulation simulation = new JobSimulation(workers);
+    simulation.table(TABLE);
+    simulation.run(200);
+    return simulation;
   }
 
   /** Returns a lab whose workers are soon back under their identifiers after a crash. */
   static JobSimulation restartingFleet(int workers) {
-    JobSimulation lab =
+    JobSimulation simulation =
         simulation(
             IntStream.range(0, workers)
                 .mapToObj(i -> new SimulatedWorker("w" + i, 8))
                 .toArray(SimulatedWorker[]::new));
-    lab.keepsIds = true;
-    lab.restartMillis = RESTART_MILLIS;
-    return lab;
+    simulation.keepsIds = true;
+    simulation.restartMillis = RESTART_MILLIS;
+    return simulation;
   }
 
   /** Submits jobs of three tasks each. */
-  static List<JobSpec> submit(JobSimulation lab, String name, int count) {
+  static List<JobSpec> submit(JobSimulation simulation, String name, int count) {
     List<JobSpec> jobs =
         IntStream.range(0, count).mapToObj(i -> job(name + i, step(3, 2, List.of()))).toList();
-    jobs.forEach(lab::submit);
+    jobs.forEach(simulation::submit);
     return jobs;
   }
 
-  static void assertComplete(JobSimulation lab, List<JobSpec> jobs) {
-    jobs.forEach(job -> assertEquals(lab.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
+  static void assertComplete(JobSimulation simulation, List<JobSpec> jobs) {
+    jobs.forEach(
+        job -> assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE, job.id().value()));
   }
 
   private JobFixtures() {}
--- a/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
@@ -16,63 +16,64 @@
   private static final long LEASE_MILLIS = LeaderLease.GRANT_MILLIS;
 
   /** Steps, attempts and ends on a calm day. */
-  public static class Course {
+  public static class NormalOperation {
 
     @Test
     public void runsStepsInOrderAndCompletes() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       JobSpec job = job("a", step(4, 2, List.of()), step(2, 2, List.of(0)));
-      lab.submit(job);
-      lab.run(300);
-      assertEquals(lab.starts(), 4);
-      lab.run(900);
-      assertEquals(lab.starts(), 6);
-      lab.run(300);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.submit(job);
+      simulation.run(300);
+      assertEquals(simulation.starts(), 4);
+      simulation.run(900);
+      assertEquals(simulation.starts(), 6);
+      simulation.run(300);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
 
     @Test
     public void failsAfterTheLastAttempt() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.fails = true;
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.fails = true;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.FAILED);
-      assertEquals(lab.starts(), 2);
+      simulation.submit(job);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.FAILED);
+      assertEquals(simulation.starts(), 2);
     }
 
     @Test
-    public void restartsWhatLastsHoweverItEnds() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.fails = true;
+    public void restartsLongRunningTasksHoweverTheyEnd() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.fails = true;
       JobSpec job = job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS));
-      lab.submit(job);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.RUNNING);
-      assertTrue(lab.starts() > 3, "starts: " + lab.starts());
+      simulation.submit(job);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.RUNNING);
+      assertTrue(simulation.starts() > 3, "starts: " + simulation.starts());
     }
 
     @Test
     public void keepsToTheSpreadLimit() {
       SimulatedWorker first = new SimulatedWorker("w1", 32);
       SimulatedWorker second = new SimulatedWorker("w2", 32);
-      JobSimulation lab = simulation(first, second);
-      lab.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
-      lab.run(300);
+      JobSimulation simulation = simulation(first, second);
+      simulation.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
+      simulation.run(300);
       assertEquals(first.count(), 2);
       assertEquals(second.count(), 2);
     }
 
     @Test
-    public void waitsForRoomRatherThanOverfillOne() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 4));
+    public void waitsForCapacityRatherThanOvercommit() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(6, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      assertEquals(lab.starts(), 2);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.submit(job);
+      simulation.run(300);
+      assertEquals(simulation.starts(), 2);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
   }
 
@@ -85,14 +86,14 @@
      */
     @Test
     public void startsNothingThatIsNotStored() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.storeUnavailable = true;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(2_000);
-      assertEquals(lab.starts(), 0);
-      lab.restoreStore();
-      lab.run(200);
-      assertEquals(lab.starts(), 1);
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.storeUnavailable = true;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(2_000);
+      assertEquals(simulation.starts(), 0);
+      simulation.restoreStore();
+      simulation.run(200);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
@@ -100,25 +101,25 @@
      * that comes next would find neither run nor end and run the finished task again.
      */
     @Test
-    public void acknowledgesNoEndThatIsNotStored() {
+    public void acknowledgesNoCompletionThatIsNotStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
+      JobSimulation simulation = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(200);
-      lab.storeUnavailable = true;
-      lab.run(7_000);
+      simulation.submit(job);
+      simulation.run(200);
+      simulation.storeUnavailable = true;
+      simulation.run(7_000);
       assertEquals(worker.lastAcknowledgedCompletion(), 0);
-      lab.takeOver();
-      lab.restoreStore();
-      lab.run(1_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.takeOver();
+      simulation.restoreStore();
+      simulation.run(1_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
   }
 
   /** Orders that get no answer, workers that go and come back. */
-  public static class Doubt {
+  public static class UnansweredOrders {
 
     /**
      * A start gets no answer but was carried out. The leader sends it again; the worker takes the
@@ -126,20 +127,21 @@
      */
     @Test
     public void startsOnceWhenTheAnswerIsLost() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
-      lab.lost =
+      simulation.lost =
           effect -> {
             boolean lose = first[0];
             first[0] = false;
             return lose;
           };
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.workMillis = 3_000;
-      lab.submit(job);
-      lab.run(5_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.workMillis = 3_000;
+      simulation.submit(job);
+      simulation.run(5_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
@@ -148,19 +150,20 @@
      */
     @Test
     public void runsOnceWhenAnOrderArrivesLate() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
-      lab.late =
+      simulation.late =
           effect -> {
             boolean delay = first[0];
             first[0] = false;
             return delay;
           };
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(6_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.submit(job);
+      simulation.run(6_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
@@ -168,17 +171,19 @@
      * without the run. Taken at its word the task would start again beside itself.
      */
     @Test
-    public void olderReportsTakeNothingAway() {
+    public void olderReportsReleaseNoRun() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
-      lab.workMillis = 60_000;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
       WorkerReport older =
-          new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, lab.now, List.of(), List.of());
-      lab.post(new JobEvent.WorkerReported(worker.info.incarnation(), lab.now - 200, older));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 1);
+          new WorkerReport(
+              WorkerIncarnation.UNKNOWN_START_TIME, simulation.now, List.of(), List.of());
+      simulation.post(
+          new JobEvent.WorkerReported(worker.info.incarnation(), simulation.now - 200, older));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
@@ -186,20 +191,20 @@
      * certainly ended there; until then it would run twice.
      */
     @Test
-    public void waitsOutTheLeaseOfWorkersOutOfReach() {
+    public void waitsOutTheLeaseOfUnreachableWorkers() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = simulation(first, second);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(first, second);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      SimulatedWorker holder = first.count() > 0 ? first : second;
-      holder.reachable = false;
-      lab.run(LEASE_MILLIS - 1_000);
-      assertEquals(lab.starts(), 1);
-      lab.run(4_000);
-      assertEquals(lab.starts(), 2);
+      simulation.submit(job);
+      simulation.run(300);
+      SimulatedWorker workerOfTask = first.count() > 0 ? first : second;
+      workerOfTask.reachable = false;
+      simulation.run(LEASE_MILLIS - 1_000);
+      assertEquals(simulation.starts(), 1);
+      simulation.run(4_000);
+      assertEquals(simulation.starts(), 2);
     }
 
     /**
@@ -208,15 +213,16 @@
      */
     @Test
     public void takesOverWithoutStartingAgain() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
-      lab.workMillis = 3_000;
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      simulation.workMillis = 3_000;
       JobSpec job = job("a", step(4, 2, List.of()));
-      lab.submit(job);
-      lab.run(500);
-      lab.takeOver();
-      lab.run(5_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 4);
+      simulation.submit(job);
+      simulation.run(500);
+      simulation.takeOver();
+      simulation.run(5_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 4);
     }
 
     /**
@@ -226,13 +232,13 @@
     @Test
     public void startsWhatTheLastLeaderOnlyStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
+      JobSimulation simulation = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.specs.put(job.id(), job);
-      lab.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
-      lab.takeOver();
-      lab.run(2_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.specs.put(job.id(), job);
+      simulation.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
+      simulation.takeOver();
+      simulation.run(2_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
       assertEquals(worker.starts.keySet(), Set.of(new RunKey(TaskName.parse("a.0.0.0"), 2)));
     }
 
@@ -242,19 +248,19 @@
      * lease.
      */
     @Test
-    public void restartsAtOnceWhenAnotherLifeAnswers() {
+    public void restartsAtOnceWhenAnotherIncarnationAnswers() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(first);
-      lab.workMillis = 2_000;
+      JobSimulation simulation = simulation(first);
+      simulation.workMillis = 2_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
+      simulation.submit(job);
+      simulation.run(300);
       first.dead = true;
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      lab.workers.put(second.info.id(), second);
-      lab.post(new JobEvent.WorkerSeen(second.info));
-      lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
-      lab.run(500);
+      simulation.workers.put(second.info.id(), second);
+      simulation.post(new JobEvent.WorkerSeen(second.info));
+      simulation.post(new JobEvent.WorkerReborn(first.info.incarnation()));
+      simulation.run(500);
       assertEquals(second.count(), 1);
     }
 
@@ -265,18 +271,18 @@
     @Test
     public void restartsAtOnceWhenTheAddressIsTakenOver() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(first);
-      lab.workMillis = 2_000;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
+      JobSimulation simulation = simulation(first);
+      simulation.workMillis = 2_000;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
       first.dead = true;
       SimulatedWorker second = new SimulatedWorker("w2", 8, first.info.address());
-      lab.workers.put(second.info.id(), second);
-      lab.post(new JobEvent.WorkerSeen(second.info));
-      lab.run(500);
+      simulation.workers.put(second.info.id(), second);
+      simulation.post(new JobEvent.WorkerSeen(second.info));
+      simulation.run(500);
       assertEquals(second.count(), 0);
-      lab.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
-      lab.run(500);
+      simulation.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
+      simulation.run(500);
       assertEquals(second.count(), 1);
     }
   }
@@ -287,17 +293,17 @@
     @Test
     public void stopsWhatRunsAndStartsNothingMore() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = simulation(worker);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(6, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.run(500);
+      simulation.submit(job);
+      simulation.run(300);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.run(500);
       assertEquals(worker.count(), 0);
-      lab.run(3_000);
-      assertEquals(lab.starts(), 2);
-      assertEquals(lab.phase(job.id()), JobPhase.CANCELLED);
+      simulation.run(3_000);
+      assertEquals(simulation.starts(), 2);
+      assertEquals(simulation.phase(job.id()), JobPhase.CANCELLED);
     }
 
     /**
@@ -305,14 +311,14 @@
      * it first. The caller was told that the job is cancelled, so nothing of it may start.
      */
     @Test
-    public void keepsCancellationsThatOvertakeTheirJob() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 4));
+    public void keepsCancellationsThatArriveBeforeTheirJob() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.submit(job);
-      lab.run(1_000);
-      assertEquals(lab.starts(), 0);
-      assertEquals(lab.phase(job.id()), JobPhase.CANCELLED);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.submit(job);
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 0);
+      assertEquals(simulation.phase(job.id()), JobPhase.CANCELLED);
     }
 
     /**
@@ -322,16 +328,16 @@
     @Test
     public void stopsAgainUntilTheRunIsGone() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = simulation(worker);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
+      simulation.submit(job);
+      simulation.run(300);
       worker.reachable = false;
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.run(2_000);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.run(2_000);
       worker.reachable = true;
-      lab.run(2_000);
+      simulation.run(2_000);
       assertEquals(worker.count(), 0);
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/JobSimulation.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -29,12 +29,12 @@
   private static final long STEP_MILLIS = 10;
 
   /** Time until a slow list shows that a worker has started again, in milliseconds. */
-  private static final long LISTED_LATE_MILLIS = 1_100;
+  private static final long LISTING_DELAY_MILLIS = 1_100;
 
   /** For how long there was no leader before the first one, in milliseconds. */
-  private static final long NONE_BEFORE_MILLIS = 60_000;
+  private static final long LEADERLESS_MILLIS = 60_000;
 
-  private record Due(long at, long order, Runnable what) {}
+  private record ScheduledAction(long atMillis, long order, Runnable action) {}
 
   final Map<WorkerId, SimulatedWorker> workers = new LinkedHashMap<>();
 
@@ -75,23 +75,25 @@
   long workMillis = 500;
   long now = 1_000;
   long epoch = 1;
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledAction> due =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::atMillis)
+              .thenComparingLong(ScheduledAction::order));
   private final Deque<JobEffect.SaveProgress> waitingSaves = new ArrayDeque<>();
   private long orders;
   private JobScheduler leader;
   private JobTable table = JobTable.EMPTY;
   private Moment renewal;
   Set<DataCentreId> evacuated = Set.of();
-  private final SimulationInvariants promises = new SimulationInvariants(this);
+  private final SimulationInvariants invariants = new SimulationInvariants(this);
   private String learned = "";
 
   JobSimulation(SimulatedWorker... all) {
     for (SimulatedWorker worker : all) {
       workers.put(worker.info.id(), worker);
     }
-    leader = new JobScheduler(JobTiming.STANDARD, table, moment(), now - NONE_BEFORE_MILLIS);
-    introduce();
+    leader = new JobScheduler(JobTiming.STANDARD, table, moment(), now - LEADERLESS_MILLIS);
+    registerWorkers();
     tick(leader);
   }
 
@@ -99,7 +101,7 @@
     return new Moment(now, now);
   }
 
-  private void introduce() {
+  private void registerWorkers() {
     post(new JobEvent.DataCentresEvacuated(evacuated));
     workers.values().stream()
         .filter(worker -> !worker.dead)
@@ -135,7 +137,7 @@
     long inherited = renewal.mono() + LeaderLease.GRANT_MILLIS;
     leader = new JobScheduler(JobTiming.STANDARD, table, moment(), inherited);
     post(new JobEvent.LearnedRecovered(learned));
-    introduce();
+    registerWorkers();
     specs.values().forEach(this::recover);
     tick(leader);
   }
@@ -152,7 +154,7 @@
 
   private void post(JobScheduler to, JobEvent event) {
     if (to != null && to == leader) {
-      leader.reduce(moment(), event).forEach(this::carryOut);
+      leader.reduce(moment(), event).forEach(this::execute);
     }
   }
 
@@ -164,9 +166,9 @@
     }
   }
 
-  private void after(long millis, Runnable what) {
+  private void after(long millis, Runnable action) {
     orders++;
-    due.add(new Due(now + millis, orders, what));
+    due.add(new ScheduledAction(now + millis, orders, action));
   }
 
   /** Lets time pass. */
@@ -175,10 +177,10 @@
     while (now < end) {
       now = Math.min(end, now + STEP_MILLIS);
       workers.values().forEach(worker -> worker.advance(now, fails));
-      while (!due.isEmpty() && due.peek().at() <= now) {
-        due.poll().what().run();
+      while (!due.isEmpty() && due.peek().atMillis() <= now) {
+        due.poll().action().run();
       }
-      promises.checkRuns();
+      invariants.checkRuns();
     }
   }
 
@@ -187,21 +189,21 @@
     return Stream.concat(workers.values().stream(), replaced.stream());
   }
 
-  private void carryOut(JobEffect effect) {
+  private void execute(JobEffect effect) {
     seen.add(effect);
     JobScheduler from = leader;
     long inEpoch = epoch;
     if (effect instanceof JobEffect.Note note) {
-      promises.checkMissing(note);
+      invariants.checkMissing(note);
     } else if (effect instanceof JobEffect.SaveProgress save) {
       save(from, save);
     } else if (effect instanceof JobEffect.StartRun start) {
-      promises.checkStart(start);
+      invariants.checkStart(start);
       start(from, start.target().fencingToken(inEpoch), start);
     } else if (effect instanceof JobEffect.StopRun stop) {
       stop(from, stop.target().fencingToken(inEpoch), stop);
-    } else if (effect instanceof JobEffect.LookAtWorker look) {
-      look(from, look.target().fencingToken(inEpoch), look);
+    } else if (effect instanceof JobEffect.LookAtWorker poll) {
+      poll(from, poll.target().fencingToken(inEpoch), poll);
     }
   }
 
@@ -245,7 +247,7 @@
                 there.dead ? StartResult.UNKNOWN : there.start(order, token, now, workMillis, need);
             Long survives = fatal.get(order.run().task());
             if (survives != null && result == StartResult.STARTED) {
-              after(survives, () -> crashUnder(there, order.run()));
+              after(survives, () -> crashIfRunning(there, order.run()));
             }
             if (!unanswered && !delayed) {
               after(oneWayDelayMillis, () -> started(from, order, result));
@@ -257,7 +259,7 @@
     }
   }
 
-  private void crashUnder(SimulatedWorker worker, RunKey run) {
+  private void crashIfRunning(SimulatedWorker worker, RunKey run) {
     if (worker.runs().contains(run)) {
       crash(worker);
     }
@@ -273,7 +275,7 @@
           if (keepsIds) {
             restart(worker);
           } else {
-            replace(worker, worker.nextLife(worker.info.id().value() + "-" + crashes, now));
+            replace(worker, worker.nextIncarnation(worker.info.id().value() + "-" + crashes, now));
           }
         });
   }
@@ -286,11 +288,11 @@
   }
 
   private void restart(SimulatedWorker worker) {
-    SimulatedWorker next = worker.nextLife(worker.info.id().value(), now);
+    SimulatedWorker next = worker.nextIncarnation(worker.info.id().value(), now);
     replaced.add(worker);
     workers.put(next.info.id(), next);
     after(
-        listsCrashedWorkers ? LISTED_LATE_MILLIS : 0,
+        listsCrashedWorkers ? LISTING_DELAY_MILLIS : 0,
         () -> {
           if (!next.dead) {
             post(new JobEvent.WorkerSeen(next.info));
@@ -351,14 +353,14 @@
         });
   }
 
-  private void look(JobScheduler from, long token, JobEffect.LookAtWorker order) {
-    WorkerIncarnation asked = order.target().incarnation();
-    WorkerId id = asked.worker();
+  private void poll(JobScheduler from, long token, JobEffect.LookAtWorker order) {
+    WorkerIncarnation polled = order.target().incarnation();
+    WorkerId id = polled.worker();
     long sent = now;
     long held = delay.applyAsLong(order);
     if (held > 0) {
-      after(held, () -> workers.get(id).look(order, token, now));
-      after(800, () -> post(from, new JobEvent.WorkerSilent(asked)));
+      after(held, () -> workers.get(id).poll(order, token, now));
+      after(800, () -> post(from, new JobEvent.WorkerSilent(polled)));
       return;
     }
     after(
@@ -366,15 +368,15 @@
         () -> {
           SimulatedWorker worker = workers.get(id);
           if (worker == null || !worker.reachable || worker.dead) {
-            after(800, () -> post(from, new JobEvent.WorkerSilent(asked)));
+            after(800, () -> post(from, new JobEvent.WorkerSilent(polled)));
           } else {
             boolean fenced = token < worker.token;
-            WorkerReport report = worker.look(order, token, now);
+            WorkerReport report = worker.poll(order, token, now);
             post(
                 from,
                 fenced
-                    ? new JobEvent.WorkerFenced(asked)
-                    : new JobEvent.WorkerReported(asked, sent, report));
+                    ? new JobEvent.WorkerFenced(polled)
+                    : new JobEvent.WorkerReported(polled, sent, report));
           }
         });
   }
--- a/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
@@ -21,7 +21,7 @@
 public class LateOrdersTest {
 
   /** How long a run that nobody wants may go on after it began, in milliseconds. */
-  private static final long BEARABLE_MILLIS = 3_000;
+  private static final long TOLERATED_MILLIS = 3_000;
 
   /** Latest time at which an order is carried out, in milliseconds after it was sent. */
   private static final long LATEST_MILLIS = 12_000;
@@ -30,49 +30,50 @@
   private static final long TAKEOVER_MILLIS = 2_500;
 
   /** A lab whose unwanted runs are timed. */
-  private static final class Watch {
-    final JobSimulation lab;
+  private static final class CancelledRunTimer {
+    final JobSimulation simulation;
     final Set<JobId> cancelled = new HashSet<>();
     final List<String> overdue = new ArrayList<>();
     private final Map<RunKey, Long> since = new HashMap<>();
     long longestMillis;
 
-    Watch(JobSimulation lab) {
-      this.lab = lab;
+    CancelledRunTimer(JobSimulation simulation) {
+      this.simulation = simulation;
     }
 
     void cancel(JobId id) {
       cancelled.add(id);
-      lab.post(new JobEvent.JobCancelled(id));
+      simulation.post(new JobEvent.JobCancelled(id));
     }
 
     /** Another instance takes over, and reads the cancellations last, as it does in the store. */
     void takeOver() {
-      lab.takeOver();
-      cancelled.forEach(id -> lab.post(new JobEvent.JobCancelled(id)));
+      simulation.takeOver();
+      cancelled.forEach(id -> simulation.post(new JobEvent.JobCancelled(id)));
     }
 
     void run(long millis) {
-      for (long end = lab.now + millis; lab.now < end; ) {
-        lab.run(10);
-        Set<RunKey> unwanted = new HashSet<>();
-        lab.workers
+      for (long end = simulation.now + millis; simulation.now < end; ) {
+        simulation.run(10);
+        Set<RunKey> obsolete = new HashSet<>();
+        simulation
+            .workers
             .values()
             .forEach(
                 worker ->
                     worker.runs().stream()
                         .filter(run -> cancelled.contains(run.task().job()))
-                        .forEach(unwanted::add));
-        since.keySet().retainAll(unwanted);
-        unwanted.forEach(this::time);
+                        .forEach(obsolete::add));
+        since.keySet().retainAll(obsolete);
+        obsolete.forEach(this::time);
       }
     }
 
     private void time(RunKey run) {
-      long took = lab.now - since.computeIfAbsent(run, key -> lab.now);
+      long took = simulation.now - since.computeIfAbsent(run, key -> simulation.now);
       longestMillis = Math.max(longestMillis, took);
-      if (took == BEARABLE_MILLIS) {
-        overdue.add(run + " at " + lab.now);
+      if (took == TOLERATED_MILLIS) {
+        overdue.add(run + " at " + simulation.now);
       }
     }
   }
@@ -91,13 +92,13 @@
     }
 
     /** Submits a job whose every start stays on its way for so long. */
-    private static Watch withStartOnItsWay(long delay) {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.workMillis = 60_000;
-      lab.delay = effect -> effect instanceof JobEffect.StartRun ? delay : 0;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
-      return new Watch(lab);
+    private static CancelledRunTimer withStartInFlight(long delay) {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.workMillis = 60_000;
+      simulation.delay = effect -> effect instanceof JobEffect.StartRun ? delay : 0;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
+      return new CancelledRunTimer(simulation);
     }
 
     /**
@@ -107,39 +108,40 @@
      */
     @Test(dataProvider = "delays")
     public void runsNothingAfterwards(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      watch.cancel(ID);
-      watch.run(LATEST_MILLIS + 3_000);
-      assertEquals(watch.longestMillis, 0);
-      assertEquals(watch.lab.phase(ID), JobPhase.CANCELLED);
+      CancelledRunTimer timer = withStartInFlight(delay);
+      timer.cancel(ID);
+      timer.run(LATEST_MILLIS + 3_000);
+      assertEquals(timer.longestMillis, 0);
+      assertEquals(timer.simulation.phase(ID), JobPhase.CANCELLED);
     }
 
     /** The same, with every stop lost until after the start was carried out. */
     @Test(dataProvider = "delays")
     public void stopsTheRunWhenStopsWereLost(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      long good = watch.lab.now + delay;
-      watch.lab.lost = effect -> effect instanceof JobEffect.StopRun && watch.lab.now < good;
-      watch.cancel(ID);
-      watch.run(LATEST_MILLIS + 3_000);
-      assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
+      CancelledRunTimer timer = withStartInFlight(delay);
+      long recoveryMillis = timer.simulation.now + delay;
+      timer.simulation.lost =
+          effect -> effect instanceof JobEffect.StopRun && timer.simulation.now < recoveryMillis;
+      timer.cancel(ID);
+      timer.run(LATEST_MILLIS + 3_000);
+      assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
 
     /** Guards against a run of a cancelled job of which the log says nothing, or too much. */
     @Test(dataProvider = "delays")
-    public void saysOnceThatTheRunIsThere(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      watch.lab.lost = JobEffect.StopRun.class::isInstance;
-      watch.cancel(ID);
-      watch.run(delay + 5_000);
-      List<String> said =
-          watch.lab.seen.stream()
+    public void logsOnceThatTheRunExists(long delay) {
+      CancelledRunTimer timer = withStartInFlight(delay);
+      timer.simulation.lost = JobEffect.StopRun.class::isInstance;
+      timer.cancel(ID);
+      timer.run(delay + 5_000);
+      List<String> logged =
+          timer.simulation.seen.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("run.cancelled"))
               .map(JobEffect.Note::subject)
               .toList();
-      assertEquals(said.size(), watch.lab.starts(), said.toString());
+      assertEquals(logged.size(), timer.simulation.starts(), logged.toString());
     }
 
     /**
@@ -148,49 +150,49 @@
      */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsWhatBeganBetween(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      watch.cancelled.add(ID);
-      watch.lab.killLeader();
-      watch.run(TAKEOVER_MILLIS);
-      watch.takeOver();
-      watch.run(LATEST_MILLIS + 3_000);
-      assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
-      assertEquals(watch.lab.phase(ID), JobPhase.CANCELLED);
+      CancelledRunTimer timer = withStartInFlight(delay);
+      timer.cancelled.add(ID);
+      timer.simulation.killLeader();
+      timer.run(TAKEOVER_MILLIS);
+      timer.takeOver();
+      timer.run(LATEST_MILLIS + 3_000);
+      assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
+      assertEquals(timer.simulation.phase(ID), JobPhase.CANCELLED);
     }
 
     /** The same, with the cancellation stored in the job's progress before the leader goes. */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsWhatWasStoredAsCancelled(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      watch.lab.lost = JobEffect.StopRun.class::isInstance;
-      watch.cancel(ID);
-      watch.run(50);
-      assertEquals(watch.lab.phase(ID), JobPhase.CANCELLED);
-      watch.lab.lost = effect -> false;
-      watch.lab.killLeader();
-      watch.run(TAKEOVER_MILLIS);
-      watch.takeOver();
-      watch.run(LATEST_MILLIS + 3_000);
-      assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
+      CancelledRunTimer timer = withStartInFlight(delay);
+      timer.simulation.lost = JobEffect.StopRun.class::isInstance;
+      timer.cancel(ID);
+      timer.run(50);
+      assertEquals(timer.simulation.phase(ID), JobPhase.CANCELLED);
+      timer.simulation.lost = effect -> false;
+      timer.simulation.killLeader();
+      timer.run(TAKEOVER_MILLIS);
+      timer.takeOver();
+      timer.run(LATEST_MILLIS + 3_000);
+      assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
 
     /** The next leader finds nothing of the job: it had ended, and its rows were removed. */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsRunsOfUnknownJobs(long delay) {
-      Watch watch = withStartOnItsWay(delay);
-      watch.cancelled.add(ID);
-      watch.lab.killLeader();
-      watch.lab.specs.clear();
-      watch.lab.stored.clear();
-      watch.run(TAKEOVER_MILLIS);
-      watch.takeOver();
-      watch.run(LATEST_MILLIS + 3_000);
-      assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
+      CancelledRunTimer timer = withStartInFlight(delay);
+      timer.cancelled.add(ID);
+      timer.simulation.killLeader();
+      timer.simulation.specs.clear();
+      timer.simulation.stored.clear();
+      timer.run(TAKEOVER_MILLIS);
+      timer.takeOver();
+      timer.run(LATEST_MILLIS + 3_000);
+      assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
   }
 
   /** How often a leader looks at workers on which a run may begin that nobody wants. */
-  public static class Looking {
+  public static class Polling {
 
     private static final TaskName GONE = TaskName.parse("gone.0.0.0");
 
@@ -200,23 +202,24 @@
      * run that begins late is found within a second.
      */
     @Test
-    public void looksOftenWhereStartsMayStillCome() {
-      JobSimulation lab = simulation(new SimulatedWorker("w1", 8));
-      lab.lost =
+    public void pollsOftenWhereStartsMayStillArrive() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.lost =
           effect -> effect instanceof JobEffect.StartRun || effect instanceof JobEffect.StopRun;
-      lab.delay = effect -> effect instanceof JobEffect.StartRun ? LATEST_MILLIS : 0;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
-      lab.post(new JobEvent.JobCancelled(new JobId("a")));
+      simulation.delay = effect -> effect instanceof JobEffect.StartRun ? LATEST_MILLIS : 0;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
+      simulation.post(new JobEvent.JobCancelled(new JobId("a")));
       for (int second = 0; second < 8; second++) {
-        int before = looks(lab);
-        lab.run(1_000);
-        assertTrue(looks(lab) > before, "no look in second " + second);
+        int before = polls(simulation);
+        simulation.run(1_000);
+        assertTrue(polls(simulation) > before, "no look in second " + second);
       }
     }
 
-    private static int looks(JobSimulation lab) {
-      return (int) lab.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count();
+    private static int polls(JobSimulation simulation) {
+      return (int)
+          simulation.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count();
     }
 
     /**
@@ -225,28 +228,34 @@
      * and the stop sent again, only 5 s later.
      */
     @Test
-    public void unwantedRunsKeepWorkersFromBeingIdle() {
+    public void obsoleteRunsKeepWorkersFromBeingIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
-      lab.killLeader();
-      lab.run(1_000);
-      worker.start(order(lab, worker), lab.epoch, lab.now, 60_000, new Resources(1_000, 1, 0));
-      lab.storeUnavailable = true;
-      long good = lab.now + 500;
-      lab.lost = effect -> effect instanceof JobEffect.StopRun && lab.now < good;
-      final Watch watch = new Watch(lab);
-      watch.cancelled.add(GONE.job());
-      lab.takeOver();
-      watch.run(10_000);
-      assertTrue(watch.longestMillis < BEARABLE_MILLIS, "ran for " + watch.longestMillis);
+      JobSimulation simulation = simulation(worker);
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
+      simulation.killLeader();
+      simulation.run(1_000);
+      worker.start(
+          order(simulation, worker),
+          simulation.epoch,
+          simulation.now,
+          60_000,
+          new Resources(1_000, 1, 0));
+      simulation.storeUnavailable = true;
+      long recoveryMillis = simulation.now + 500;
+      simulation.lost =
+          effect -> effect instanceof JobEffect.StopRun && simulation.now < recoveryMillis;
+      final CancelledRunTimer timer = new CancelledRunTimer(simulation);
+      timer.cancelled.add(GONE.job());
+      simulation.takeOver();
+      timer.run(10_000);
+      assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
 
-    private static JobEffect.StartRun order(JobSimulation lab, SimulatedWorker worker) {
+    private static JobEffect.StartRun order(JobSimulation simulation, SimulatedWorker worker) {
       OrderTarget target = new OrderTarget(worker.info.incarnation(), worker.info.address(), 0);
       RunKey run = new RunKey(GONE, 1);
-      return new JobEffect.StartRun(target, run, "", lab.now + 9_000, "");
+      return new JobEffect.StartRun(target, run, "", simulation.now + 9_000, "");
     }
   }
 
@@ -261,47 +270,47 @@
      * goes on, whatever came late.
      */
     @Test
-    public void noRunOfCancelledJobsGoesOn() {
+    public void noRunOfCancelledJobsContinues() {
       List<String> broken = new ArrayList<>();
       for (int seed = 0; seed < SEEDS; seed++) {
-        broken.addAll(play(seed));
+        broken.addAll(simulate(seed));
       }
       assertEquals(broken, List.of());
     }
 
-    private static List<String> play(int seed) {
+    private static List<String> simulate(int seed) {
       Random random = new Random(seed);
-      JobSimulation lab =
+      JobSimulation simulation =
           simulation(
               new SimulatedWorker("w1", 8),
               new SimulatedWorker("w2", 8),
               new SimulatedWorker("w3", 4));
-      lab.workMillis = 3_000;
-      lab.delay = effect -> random.nextInt(100) < 12 ? 2_000 + random.nextInt(10_000) : 0;
-      final Watch watch = new Watch(lab);
+      simulation.workMillis = 3_000;
+      simulation.delay = effect -> random.nextInt(100) < 12 ? 2_000 + random.nextInt(10_000) : 0;
+      final CancelledRunTimer timer = new CancelledRunTimer(simulation);
       List<JobId> open = new ArrayList<>();
       for (int second = 0; second < 60; second++) {
         JobSpec job = job("j" + second, step(1 + random.nextInt(3), 1, List.of()));
-        lab.submit(job);
+        simulation.submit(job);
         open.add(job.id());
-        watch.run(100 + random.nextInt(400));
+        timer.run(100 + random.nextInt(400));
         if (random.nextInt(3) > 0) {
-          watch.cancel(open.remove(random.nextInt(open.size())));
+          timer.cancel(open.remove(random.nextInt(open.size())));
         }
         if (random.nextInt(15) == 0) {
-          lab.storeUnavailable = true;
-          watch.run(random.nextInt(1_500));
-          lab.restoreStore();
+          simulation.storeUnavailable = true;
+          timer.run(random.nextInt(1_500));
+          simulation.restoreStore();
         }
         if (random.nextInt(12) == 0) {
-          lab.killLeader();
-          watch.run(TAKEOVER_MILLIS);
-          watch.takeOver();
+          simulation.killLeader();
+          timer.run(TAKEOVER_MILLIS);
+          timer.takeOver();
         }
-        watch.run(300);
+        timer.run(300);
       }
-      watch.run(LATEST_MILLIS);
-      return watch.overdue.stream().map(run -> "seed " + seed + ": " + run).toList();
+      timer.run(LATEST_MILLIS);
+      return timer.overdue.stream().map(run -> "seed " + seed + ": " + run).toList();
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
@@ -30,11 +30,11 @@
 
     /** Returns a lab whose only worker runs a task of three of its eight cores. */
     private static JobSimulation busy(SimulatedWorker worker) {
-      JobSimulation lab = simulation(worker);
-      lab.workMillis = 4_000;
-      lab.submit(job("a", step(1, 3, List.of())));
-      lab.run(500);
-      return lab;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 4_000;
+      simulation.submit(job("a", step(1, 3, List.of())));
+      simulation.run(500);
+      return simulation;
     }
 
     private static JobSpec second() {
@@ -43,16 +43,16 @@
 
     /** Guards against starts beyond what a worker has left. */
     @Test
-    public void startsNothingBeyondWhatIsLeft() {
+    public void startsNothingBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.submit(second());
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 8)));
-      lab.run(500);
-      assertEquals(lab.startsOf(SECOND), 1);
+      JobSimulation simulation = busy(worker);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.submit(second());
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 8)));
+      simulation.run(500);
+      assertEquals(simulation.startsOf(SECOND), 1);
     }
 
     /**
@@ -61,33 +61,33 @@
     @Test
     public void startsNothingThatWaitedForTheStore() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.storeUnavailable = true;
-      lab.submit(second());
-      lab.run(200);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.restoreStore();
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
+      JobSimulation simulation = busy(worker);
+      simulation.storeUnavailable = true;
+      simulation.submit(second());
+      simulation.run(200);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.restoreStore();
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
     }
 
     /** Guards against an order that is sent again after its worker shrank. */
     @Test
-    public void repeatsNoOrderBeyondWhatIsLeft() {
+    public void resendsNoOrderBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.delay =
+      JobSimulation simulation = busy(worker);
+      simulation.delay =
           effect ->
               effect instanceof JobEffect.StartRun start && start.run().task().equals(SECOND)
                   ? 60_000
                   : 0;
-      lab.submit(second());
-      lab.run(500);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.run(500);
-      lab.delay = effect -> 0;
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
+      simulation.submit(second());
+      simulation.run(500);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.run(500);
+      simulation.delay = effect -> 0;
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -18,12 +18,12 @@
   /** Longest lease, in milliseconds; a longer one is shortened to it. */
   private static final long LONGEST_LEASE_MILLIS = 10_000;
 
-  private static final class Held {
+  private static final class ActiveRun {
     final RunKey run;
     final long doneMillis;
     final Resources need;
 
-    Held(RunKey run, long doneMillis, Resources need) {
+    ActiveRun(RunKey run, long doneMillis, Resources need) {
       this.run = run;
       this.doneMillis = doneMillis;
       this.need = need;
@@ -39,20 +39,20 @@
   boolean stalls;
 
   /** Whether ends are forgotten before they are listed. */
-  boolean listsNoEnds;
+  boolean dropsCompletions;
 
   long token;
 
   /** How fast its steady clock runs against ours. */
   double speed = 1;
 
-  private final Map<RunKey, Held> running = new HashMap<>();
+  private final Map<RunKey, ActiveRun> running = new HashMap<>();
   private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final List<WorkerReport.Completion> ended = new ArrayList<>();
-  private long ends;
+  private final List<WorkerReport.Completion> completions = new ArrayList<>();
+  private long lastCompletion;
   private long acknowledged;
   private long leaseEndMillis;
-  private final long bornMillis;
+  private final long startTimeMillis;
 
   /** Runs that were done here, whether their end was listed or not. */
   final Set<RunKey> done = new HashSet<>();
@@ -77,11 +77,11 @@
   }
 
   private SimulatedWorker(
-      String id, long cores, String address, String dataCentre, String pool, long bornMillis) {
-    this.bornMillis = bornMillis;
+      String id, long cores, String address, String dataCentre, String pool, long startTimeMillis) {
+    this.startTimeMillis = startTimeMillis;
     this.info =
         new WorkerInfo(
-            new WorkerIncarnation(new WorkerId(id), bornMillis + 1),
+            new WorkerIncarnation(new WorkerId(id), startTimeMillis + 1),
             pool,
             address,
             new DataCentreId(dataCentre),
@@ -91,7 +91,7 @@
   }
 
   /** Returns the worker that comes at this one's address after a crash. */
-  SimulatedWorker nextLife(String id, long now) {
+  SimulatedWorker nextIncarnation(String id, long now) {
     long cores = info.capacity().cpuMillis() / 1_000;
     return new SimulatedWorker(
         id, cores, info.address(), info.dataCentre().value(), info.pool(), now);
@@ -112,9 +112,9 @@
     if (order.deadlineMillis() <= clock(now)) {
       return StartResult.LATE;
     }
-    hold(order.deadlineMillis(), now);
+    extendLease(order.deadlineMillis(), now);
     starts.merge(order.run(), 1, Integer::sum);
-    running.put(order.run(), new Held(order.run(), now + work, need));
+    running.put(order.run(), new ActiveRun(order.run(), now + work, need));
     return StartResult.STARTED;
   }
 
@@ -128,39 +128,39 @@
     }
   }
 
-  WorkerReport look(JobEffect.LookAtWorker look, long epoch, long now) {
+  WorkerReport poll(JobEffect.LookAtWorker poll, long epoch, long now) {
     token = Math.max(token, epoch);
     if (epoch == token) {
-      hold(look.leaseEndMillis(), now);
-      acknowledged = Math.max(acknowledged, look.acknowledged());
+      extendLease(poll.leaseEndMillis(), now);
+      acknowledged = Math.max(acknowledged, poll.acknowledged());
     }
-    ended.stream()
+    completions.stream()
         .filter(
             end ->
                 end.number() <= acknowledged && end.status() == WorkerReport.CompletionStatus.DONE)
         .forEach(end -> acknowledgedDone.add(end.task()));
-    ended.removeIf(end -> end.number() <= acknowledged);
+    completions.removeIf(end -> end.number() <= acknowledged);
     List<WorkerReport.Running> list =
         running.keySet().stream()
             .map(
                 run ->
                     new WorkerReport.Running(run.task(), run.run(), "", progress(now), load(run)))
             .toList();
-    return new WorkerReport(info.incarnation().startTimeMillis(), clock(now), list, ended);
+    return new WorkerReport(info.incarnation().startTimeMillis(), clock(now), list, completions);
   }
 
   long ageMillis(long now) {
-    return now - bornMillis;
+    return now - startTimeMillis;
   }
 
-  private void hold(long untilMillis, long now) {
+  private void extendLease(long untilMillis, long now) {
     leaseEndMillis =
         Math.max(leaseEndMillis, Math.min(untilMillis, clock(now) + LONGEST_LEASE_MILLIS));
   }
 
   /** Its clock begins with its life. */
   private long clock(long now) {
-    return (long) (speed * (now - bornMillis));
+    return (long) (speed * (now - startTimeMillis));
   }
 
   /** Runs make progress all the time, unless they stand still. */
@@ -174,19 +174,19 @@
 
   /** Lets time pass: ends what is done, kills everything when the lease lapses. */
   void advance(long now, boolean fails) {
-    Iterator<Held> held = List.copyOf(running.values()).iterator();
-    boolean lapsed = clock(now) > leaseEndMillis;
-    held.forEachRemaining(
+    Iterator<ActiveRun> runs = List.copyOf(running.values()).iterator();
+    boolean expired = clock(now) > leaseEndMillis;
+    runs.forEachRemaining(
         run -> {
-          if (lapsed || (!stalls && now >= run.doneMillis)) {
+          if (expired || (!stalls && now >= run.doneMillis)) {
             running.remove(run.run);
             barred.merge(run.run.task(), run.run.run(), Math::max);
-            WorkerReport.CompletionStatus how =
-                lapsed ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
-            if (how == WorkerReport.CompletionStatus.DONE) {
+            WorkerReport.CompletionStatus status =
+                expired ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
+            if (status == WorkerReport.CompletionStatus.DONE) {
               done.add(run.run);
             }
-            end(run.run, how);
+            end(run.run, status);
           }
         });
   }
@@ -195,12 +195,12 @@
     return fails ? WorkerReport.CompletionStatus.FAILED : WorkerReport.CompletionStatus.DONE;
   }
 
-  private void end(RunKey run, WorkerReport.CompletionStatus how) {
-    ends++;
-    if (listsNoEnds) {
+  private void end(RunKey run, WorkerReport.CompletionStatus status) {
+    lastCompletion++;
+    if (dropsCompletions) {
       return;
     }
-    ended.add(new WorkerReport.Completion(ends, run.task(), run.run(), how, ""));
+    completions.add(new WorkerReport.Completion(lastCompletion, run.task(), run.run(), status, ""));
   }
 
   boolean runs(TaskName task) {
@@ -217,7 +217,7 @@
   }
 
   Resources used() {
-    return running.values().stream().map(held -> held.need).reduce(Resources.NONE, Resources::plus);
+    return running.values().stream().map(run -> run.need).reduce(Resources.NONE, Resources::plus);
   }
 
   long lastAcknowledgedCompletion() {
--- a/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
@@ -7,34 +7,35 @@
 /** What has to hold in a lab at every moment, whatever goes wrong there. */
 final class SimulationInvariants {
 
-  private final JobSimulation lab;
+  private final JobSimulation simulation;
 
-  SimulationInvariants(JobSimulation lab) {
-    this.lab = lab;
+  SimulationInvariants(JobSimulation simulation) {
+    this.simulation = simulation;
   }
 
   /** No task runs twice at a time or after its acknowledged end, and no worker holds too much. */
   void checkRuns() {
     Set<TaskName> done =
-        lab.incarnations()
+        simulation
+            .incarnations()
             .flatMap(worker -> worker.acknowledgedDone.stream())
             .collect(Collectors.toSet());
     Map<TaskName, Long> running =
-        lab.workers.values().stream()
+        simulation.workers.values().stream()
             .flatMap(worker -> worker.runs().stream())
             .collect(Collectors.groupingBy(RunKey::task, Collectors.counting()));
     running.forEach(
         (task, runs) -> {
           if (runs > 1) {
-            throw broken(task + " runs " + runs + " times");
+            throw violation(task + " runs " + runs + " times");
           }
-          if (done.contains(task) && !lasts(task)) {
-            throw broken(task + " runs after its acknowledged end");
+          if (done.contains(task) && !isLongRunning(task)) {
+            throw violation(task + " runs after its acknowledged end");
           }
         });
-    for (SimulatedWorker worker : lab.workers.values()) {
+    for (SimulatedWorker worker : simulation.workers.values()) {
       if (!worker.info.capacity().holds(worker.used())) {
-        throw broken(worker.info.id() + " holds too much");
+        throw violation(worker.info.id() + " holds too much");
       }
     }
   }
@@ -46,36 +47,36 @@
         "%d %d %d p %d "
             .formatted(
                 step.occurrence(), step.step(), start.run().task().index(), start.run().run());
-    String progress = lab.stored.getOrDefault(step.job(), "");
+    String progress = simulation.stored.getOrDefault(step.job(), "");
     if (progress.lines().noneMatch(stored -> stored.startsWith(line))) {
-      throw broken(start.run() + " starts before it is stored");
+      throw violation(start.run() + " starts before it is stored");
     }
-    SimulatedWorker worker = lab.workers.get(start.target().incarnation().worker());
-    if (lab.evacuated.contains(worker.info.dataCentre())) {
-      throw broken(start.run() + " goes to an evacuated data centre");
+    SimulatedWorker worker = simulation.workers.get(start.target().incarnation().worker());
+    if (simulation.evacuated.contains(worker.info.dataCentre())) {
+      throw violation(start.run() + " goes to an evacuated data centre");
     }
   }
 
   /** A run that is taken for undone was not done by the life that was asked. */
   void checkMissing(JobEffect.Note note) {
     boolean undone = note.name().equals("run.missing") && !note.detail().endsWith("maybeDone");
-    lab.workers.values().stream()
+    simulation.workers.values().stream()
         .filter(there -> undone && note.detail().startsWith(there.info.id() + " "))
         .flatMap(there -> there.done.stream())
-        .filter(run -> run.toString().equals(note.subject()) && !lasts(run.task()))
+        .filter(run -> run.toString().equals(note.subject()) && !isLongRunning(run.task()))
         .findAny()
         .ifPresent(
             run -> {
-              throw broken(run + " was done and is taken for undone");
+              throw violation(run + " was done and is taken for undone");
             });
   }
 
-  private boolean lasts(TaskName task) {
+  private boolean isLongRunning(TaskName task) {
     StepId step = task.step();
-    return lab.specs.get(step.job()).steps().get(step.step()).is(StepSpec.Trait.LASTS);
+    return simulation.specs.get(step.job()).steps().get(step.step()).is(StepSpec.Trait.LASTS);
   }
 
-  private AssertionError broken(String what) {
-    return new AssertionError(what + " at " + lab.now);
+  private AssertionError violation(String what) {
+    return new AssertionError(what + " at " + simulation.now);
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
@@ -222,7 +222,7 @@
       JobSimulation lab = marked(delay);
       WorkerInfo entry = first(lab).info;
       lab.run(moment);
-      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerIncarnation(FIRST, 1))));
+      lab.post(new JobEvent.WorkerSeen(entry.withIncarnation(new WorkerIncarnation(FIRST, 1))));
       lab.run(100);
       lab.post(new JobEvent.WorkerSeen(entry));
       lab.run(1_400);
@@ -235,7 +235,9 @@
       JobSimulation lab = marked(delay);
       WorkerInfo entry = first(lab).info;
       lab.run(moment);
-      lab.post(new JobEvent.WorkerSeen(entry.with(new WorkerIncarnation(FIRST, lab.now + 5_000))));
+      lab.post(
+          new JobEvent.WorkerSeen(
+              entry.withIncarnation(new WorkerIncarnation(FIRST, lab.now + 5_000))));
       lab.run(100);
       lab.post(new JobEvent.WorkerSeen(entry));
       lab.run(1_400);
@@ -264,7 +266,8 @@
       lab.run(1_000);
       WorkerInfo now = first(lab).info;
       WorkerInfo before =
-          now.with(new WorkerIncarnation(FIRST, now.incarnation().startTimeMillis() + 60_000));
+          now.withIncarnation(
+              new WorkerIncarnation(FIRST, now.incarnation().startTimeMillis() + 60_000));
       lab.post(new JobEvent.WorkerSeen(before));
       lab.run(10);
       lab.post(
--- a/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
@@ -9,12 +9,12 @@
 public class WorkerClockTest {
 
   /** Ends of leases. */
-  public static class Ends {
+  public static class LeaseEnds {
 
     private static final long READ_MILLIS = 20_000;
     private static final long UNTIL_MILLIS = 30_000;
 
-    private static long end(long clock) {
+    private static long leaseEnd(long clock) {
       WorkerClock seen = new WorkerClock();
       seen.observe(clock, READ_MILLIS);
       return seen.leaseEnd(UNTIL_MILLIS);
@@ -27,12 +27,12 @@
     @Test
     public void slowClocksEndLeasesInTime() {
       long atUntil = 500 + 9_800;
-      assertTrue(end(500) <= atUntil, "ends " + (end(500) - atUntil) + " ms late");
+      assertTrue(leaseEnd(500) <= atUntil, "ends " + (leaseEnd(500) - atUntil) + " ms late");
     }
 
     @Test
     public void exactClocksLoseTwoPercent() {
-      assertEquals(end(500), 500 + 9_800);
+      assertEquals(leaseEnd(500), 500 + 9_800);
     }
 
     /** A shorter lease after a longer one does not end what the longer one keeps alive. */
--- a/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
@@ -15,14 +15,14 @@
 public class WorkerTroubleTest {
 
   /** Leaders that do not reach their workers. */
-  public static class Reaching {
+  public static class Reachability {
 
     private static SimulatedWorker in(String dataCentre, String id) {
       return new SimulatedWorker(id, 8, id + ":1", dataCentre);
     }
 
-    private static long handOvers(JobSimulation lab) {
-      return lab.seen.stream().filter(JobEffect.HandOver.class::isInstance).count();
+    private static long handOvers(JobSimulation simulation) {
+      return simulation.seen.stream().filter(JobEffect.HandOver.class::isInstance).count();
     }
 
     /**
@@ -34,14 +34,14 @@
       SimulatedWorker here = in("a", "w1");
       SimulatedWorker second = in("b", "w2");
       SimulatedWorker third = in("c", "w3");
-      JobSimulation lab = simulation(here, second, third);
-      lab.submit(job("a", step(3, 8, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(4_000);
-      assertEquals(handOvers(lab), 0);
+      JobSimulation simulation = simulation(here, second, third);
+      simulation.submit(job("a", step(3, 8, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(4_000);
+      assertEquals(handOvers(simulation), 0);
       second.reachable = false;
       third.reachable = false;
-      lab.run(2_500);
-      assertTrue(handOvers(lab) > 0);
+      simulation.run(2_500);
+      assertTrue(handOvers(simulation) > 0);
     }
 
     /** Two equal sides: neither reaches more, and the lead must not go to and fro. */
@@ -49,35 +49,36 @@
     public void staysWhereHalfAnswer() {
       SimulatedWorker here = in("a", "w1");
       SimulatedWorker there = in("b", "w2");
-      JobSimulation lab = simulation(here, there);
-      lab.submit(job("a", step(2, 8, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(4_000);
+      JobSimulation simulation = simulation(here, there);
+      simulation.submit(job("a", step(2, 8, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(4_000);
       there.reachable = false;
-      lab.run(4_000);
-      assertEquals(handOvers(lab), 0);
+      simulation.run(4_000);
+      assertEquals(handOvers(simulation), 0);
     }
   }
 
   /** Workers that are lost. */
-  public static class Losing {
+  public static class WorkerLoss {
 
     /** How long a leader is silent until the next one has read all jobs, in milliseconds. */
     private static final long TAKEOVER_MILLIS = 2_500;
 
     /** Longest time that callers bear a lasting task away after its leader's death. */
-    private static final long AWAY_MILLIS = 9_000;
+    private static final long ABSENT_MILLIS = 9_000;
 
     private static final TaskName TASK = TaskName.parse("s.0.0.0");
 
-    private static JobSimulation withLastingTask(SimulatedWorker first, SimulatedWorker second) {
-      JobSimulation lab = simulation(first, second);
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(500);
-      return lab;
+    private static JobSimulation withLongRunningTask(
+        SimulatedWorker first, SimulatedWorker second) {
+      JobSimulation simulation = simulation(first, second);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(500);
+      return simulation;
     }
 
-    private static SimulatedWorker holder(SimulatedWorker... workers) {
+    private static SimulatedWorker workerOfTask(SimulatedWorker... workers) {
       return Stream.of(workers).filter(worker -> worker.runs(TASK)).findFirst().orElseThrow();
     }
 
@@ -86,15 +87,15 @@
      * nobody can tell afterwards which of the runs there made the worker crash.
      */
     @Test
-    public void namesRunsThatAreLostWithTheirWorker() {
+    public void logsRunsThatAreLostWithTheirWorker() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = withLastingTask(first, second);
-      SimulatedWorker lost = holder(first, second);
-      lab.run(4_000);
-      lab.post(new JobEvent.WorkerReborn(lost.info.incarnation()));
+      JobSimulation simulation = withLongRunningTask(first, second);
+      SimulatedWorker lost = workerOfTask(first, second);
+      simulation.run(4_000);
+      simulation.post(new JobEvent.WorkerReborn(lost.info.incarnation()));
       List<String> lines =
-          lab.seen.stream()
+          simulation.seen.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("run.lost"))
@@ -112,19 +113,19 @@
      * the end of this one, and callers saw the task away for 17 s.
      */
     @Test
-    public void lastingTasksOfLostWorkersReturnSoonAfterTakeover() {
+    public void longRunningTasksOfLostWorkersReturnSoonAfterTakeover() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = withLastingTask(first, second);
-      final SimulatedWorker lost = holder(first, second);
+      JobSimulation simulation = withLongRunningTask(first, second);
+      final SimulatedWorker lost = workerOfTask(first, second);
       final SimulatedWorker other = lost == first ? second : first;
-      lab.run(5_000);
+      simulation.run(5_000);
       lost.dead = true;
-      lab.run(500);
-      lab.killLeader();
-      lab.run(TAKEOVER_MILLIS);
-      lab.takeOver();
-      lab.run(AWAY_MILLIS - TAKEOVER_MILLIS);
+      simulation.run(500);
+      simulation.killLeader();
+      simulation.run(TAKEOVER_MILLIS);
+      simulation.takeOver();
+      simulation.run(ABSENT_MILLIS - TAKEOVER_MILLIS);
       assertTrue(other.runs(TASK));
     }
 
@@ -133,40 +134,40 @@
      * have. Nothing starts beside it: each step of the lab checks that no task runs twice.
      */
     @Test
-    public void lastingTasksOfWorkersCutOffNeverRunTwice() {
+    public void longRunningTasksOfWorkersCutOffNeverRunTwice() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
       first.speed = WorkerClock.SLOWEST;
       second.speed = WorkerClock.SLOWEST;
-      JobSimulation lab = withLastingTask(first, second);
-      final SimulatedWorker cut = holder(first, second);
+      JobSimulation simulation = withLongRunningTask(first, second);
+      final SimulatedWorker cut = workerOfTask(first, second);
       final SimulatedWorker other = cut == first ? second : first;
-      lab.run(5_000);
+      simulation.run(5_000);
       cut.reachable = false;
-      lab.killLeader();
-      lab.run(TAKEOVER_MILLIS);
-      lab.takeOver();
-      lab.run(20_000);
+      simulation.killLeader();
+      simulation.run(TAKEOVER_MILLIS);
+      simulation.takeOver();
+      simulation.run(20_000);
       assertTrue(other.runs(TASK));
     }
 
-    private static long millisAway(boolean busy) {
+    private static long absentMillis(boolean busy) {
       SimulatedWorker first = new SimulatedWorker("w1", 64);
       SimulatedWorker second = new SimulatedWorker("w2", 64);
-      JobSimulation lab = withLastingTask(first, second);
-      final SimulatedWorker lost = holder(first, second);
+      JobSimulation simulation = withLongRunningTask(first, second);
+      final SimulatedWorker lost = workerOfTask(first, second);
       final SimulatedWorker other = lost == first ? second : first;
-      lab.workMillis = 200;
-      lab.run(5_000);
+      simulation.workMillis = 200;
+      simulation.run(5_000);
       lost.dead = true;
-      final long from = lab.now;
-      for (int i = 0; !other.runs(TASK) && lab.now < from + 20_000; i++) {
+      final long from = simulation.now;
+      for (int i = 0; !other.runs(TASK) && simulation.now < from + 20_000; i++) {
         if (busy && i % 5 == 0) {
-          lab.submit(job("b" + i, step(4, 2, List.of())));
+          simulation.submit(job("b" + i, step(4, 2, List.of())));
         }
-        lab.run(10);
+        simulation.run(10);
       }
-      return lab.now - from;
+      return simulation.now - from;
     }
 
     /**
@@ -175,8 +176,8 @@
      */
     @Test
     public void ordersToLostWorkersDoNotLengthenTheWait() {
-      long calm = millisAway(false);
-      long busy = millisAway(true);
+      long calm = absentMillis(false);
+      long busy = absentMillis(true);
       assertTrue(busy <= calm + 100, "calm " + calm + ", busy " + busy);
     }
 
@@ -185,30 +186,30 @@
      * worker anew, from the last renewal of this leader; so it gets the lead once they have ended.
      */
     @Test
-    public void keepsTheLeadWhileLeasesOfLostWorkersLast() {
+    public void keepsLeadershipUntilLeasesOfLostWorkersExpire() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = withLastingTask(first, second);
-      assertTrue(lab.mayYieldLeadershipTo("dc"));
-      holder(first, second).dead = true;
-      lab.run(1_500);
-      assertFalse(lab.mayYieldLeadershipTo("dc"));
-      lab.run(9_000);
-      assertTrue(lab.mayYieldLeadershipTo("dc"));
+      JobSimulation simulation = withLongRunningTask(first, second);
+      assertTrue(simulation.mayYieldLeadershipTo("dc"));
+      workerOfTask(first, second).dead = true;
+      simulation.run(1_500);
+      assertFalse(simulation.mayYieldLeadershipTo("dc"));
+      simulation.run(9_000);
+      assertTrue(simulation.mayYieldLeadershipTo("dc"));
     }
 
     /** Logs tell for how long the tasks of a worker that nobody reaches have to wait. */
     @Test
-    public void saysHowLongTasksOfLostWorkersWait() {
+    public void logsHowLongTasksOfLostWorkersWait() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = withLastingTask(first, second);
-      holder(first, second).dead = true;
-      lab.killLeader();
-      lab.takeOver();
-      lab.run(500);
+      JobSimulation simulation = withLongRunningTask(first, second);
+      workerOfTask(first, second).dead = true;
+      simulation.killLeader();
+      simulation.takeOver();
+      simulation.run(500);
       assertEquals(
-          lab.seen.stream()
+          simulation.seen.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("worker.awaited"))
@@ -218,7 +219,7 @@
   }
 
   /** Workers that must get nothing. */
-  public static class Shunning {
+  public static class Avoidance {
 
     /**
      * A worker answers well and fails all that it starts. After two jobs it gets no more for a
@@ -228,16 +229,16 @@
     public void suspectsWorkersThatFailEverything() {
       SimulatedWorker bad = new SimulatedWorker("w1", 32);
       SimulatedWorker good = new SimulatedWorker("w2", 16);
-      JobSimulation lab = simulation(bad, good);
+      JobSimulation simulation = simulation(bad, good);
       bad.failsAll = true;
       for (int i = 0; i < 8; i++) {
-        lab.submit(job("a" + i, step(1, 1, List.of())));
-        lab.run(1_000);
+        simulation.submit(job("a" + i, step(1, 1, List.of())));
+        simulation.run(1_000);
       }
-      lab.run(2_000);
+      simulation.run(2_000);
       assertTrue(bad.starts.size() <= 5, "starts on the bad worker: " + bad.starts.size());
       for (int i = 0; i < 8; i++) {
-        assertEquals(lab.phase(new JobId("a" + i)), JobPhase.COMPLETE);
+        assertEquals(simulation.phase(new JobId("a" + i)), JobPhase.COMPLETE);
       }
     }
 
@@ -246,15 +247,15 @@
      * that their callers would wait for ever.
      */
     @Test
-    public void movesRunsThatStandStill() {
+    public void movesStalledRuns() {
       SimulatedWorker bad = new SimulatedWorker("w1", 32);
       SimulatedWorker good = new SimulatedWorker("w2", 16);
-      JobSimulation lab = simulation(bad, good);
+      JobSimulation simulation = simulation(bad, good);
       bad.stalls = true;
       JobSpec job = job("a", step(1, 1, List.of()));
-      lab.submit(job);
-      lab.run(8_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.submit(job);
+      simulation.run(8_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
 
     /** Guards against a start that leaves with the save of an earlier placement of its task. */
@@ -262,34 +263,34 @@
     public void startsNothingWithSaveOfEarlierPlacement() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = simulation(first, second);
-      lab.storeUnavailable = true;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(50);
-      lab.post(new JobEvent.WorkerReborn(second.info.incarnation()));
-      lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
-      lab.post(new JobEvent.WorkerSeen(first.info));
-      lab.run(300);
-      lab.restoreStore();
-      lab.run(2_000);
-      assertEquals(lab.starts(), 1);
+      JobSimulation simulation = simulation(first, second);
+      simulation.storeUnavailable = true;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(50);
+      simulation.post(new JobEvent.WorkerReborn(second.info.incarnation()));
+      simulation.post(new JobEvent.WorkerReborn(first.info.incarnation()));
+      simulation.post(new JobEvent.WorkerSeen(first.info));
+      simulation.run(300);
+      simulation.restoreStore();
+      simulation.run(2_000);
+      assertEquals(simulation.starts(), 1);
     }
 
     /** Guards against answers to stops that keep a run placed which its worker no longer lists. */
     @Test
-    public void movesLastingTaskWhoseEndIsNeverListed() {
+    public void movesLongRunningTaskWhoseCompletionIsNeverListed() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = simulation(first, second);
-      lab.workMillis = 60_000;
-      lab.submit(job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(1_000);
+      JobSimulation simulation = simulation(first, second);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(1_000);
       SimulatedWorker leaving = first.count() == 1 ? first : second;
       final SimulatedWorker other = leaving == first ? second : first;
-      lab.longestWaitMillis = 1_000;
-      leaving.listsNoEnds = true;
-      lab.post(JobSimulation.draining(leaving));
-      lab.run(2_500);
+      simulation.longestWaitMillis = 1_000;
+      leaving.dropsCompletions = true;
+      simulation.post(JobSimulation.draining(leaving));
+      simulation.run(2_500);
       assertEquals(other.count(), 1);
     }
 
@@ -297,16 +298,16 @@
      * Guards against an unanswered order that is sent again to a worker which says that it leaves.
      */
     @Test
-    public void sendsNothingAgainToLeavingWorkers() {
+    public void resendsNothingToLeavingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(leaving);
-      lab.delay = effect -> effect instanceof JobEffect.StartRun ? 20_000 : 0;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(500);
-      lab.post(JobSimulation.draining(leaving));
-      lab.delay = effect -> 0;
-      lab.run(6_000);
-      assertEquals(lab.starts(), 0);
+      JobSimulation simulation = simulation(leaving);
+      simulation.delay = effect -> effect instanceof JobEffect.StartRun ? 20_000 : 0;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(500);
+      simulation.post(JobSimulation.draining(leaving));
+      simulation.delay = effect -> 0;
+      simulation.run(6_000);
+      assertEquals(simulation.starts(), 0);
     }
 
     /**
@@ -315,18 +316,18 @@
      * be away for all that time. They move while the worker drains, as far as there is room.
      */
     @Test
-    public void movesLastingTasksOffDrainingWorkers() {
+    public void movesLongRunningTasksOffDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 32);
-      JobSimulation lab = simulation(leaving);
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(3, 4, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(500);
+      JobSimulation simulation = simulation(leaving);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(3, 4, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(500);
       assertEquals(leaving.count(), 3);
       SimulatedWorker other = new SimulatedWorker("w2", 8);
-      lab.workers.put(other.info.id(), other);
-      lab.post(new JobEvent.WorkerSeen(other.info));
-      lab.post(JobSimulation.draining(leaving));
-      lab.run(1_500);
+      simulation.workers.put(other.info.id(), other);
+      simulation.post(new JobEvent.WorkerSeen(other.info));
+      simulation.post(JobSimulation.draining(leaving));
+      simulation.run(1_500);
       assertEquals(other.count(), 2);
       assertEquals(leaving.count(), 1);
     }
@@ -336,24 +337,24 @@
      * all lasting tasks leave in time.
      */
     @Test
-    public void lostStopsDoNotHoldLastingTasksOnDrainingWorkers() {
+    public void lostStopsDoNotKeepLongRunningTasksOnDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 16);
-      JobSimulation lab = simulation(leaving);
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(2, 4, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(500);
+      JobSimulation simulation = simulation(leaving);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(2, 4, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(500);
       SimulatedWorker other = new SimulatedWorker("w2", 16);
-      lab.workers.put(other.info.id(), other);
-      lab.post(new JobEvent.WorkerSeen(other.info));
+      simulation.workers.put(other.info.id(), other);
+      simulation.post(new JobEvent.WorkerSeen(other.info));
       int[] stops = {0};
-      lab.lost =
+      simulation.lost =
           effect -> {
             boolean first = effect instanceof JobEffect.StopRun && stops[0] == 0;
             stops[0] += first ? 1 : 0;
             return first;
           };
-      lab.post(JobSimulation.draining(leaving));
-      lab.run(2_500);
+      simulation.post(JobSimulation.draining(leaving));
+      simulation.run(2_500);
       assertEquals(other.count(), 2);
     }
 
@@ -362,50 +363,50 @@
      * otherwise one such job would tie all of them to workers that go.
      */
     @Test
-    public void hopelessJobsDoNotHoldLastingTasksOnDrainingWorkers() {
+    public void unplaceableJobsDoNotKeepLongRunningTasksOnDrainingWorkers() {
       SimulatedWorker leaving = new SimulatedWorker("w1", 16);
-      JobSimulation lab = simulation(leaving);
-      lab.workMillis = 60_000;
-      lab.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
-      lab.submit(job("never", step(1, 99, List.of(), StepSpec.Trait.LASTS)));
-      lab.run(500);
+      JobSimulation simulation = simulation(leaving);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("s", step(1, 4, List.of(), StepSpec.Trait.LASTS)));
+      simulation.submit(job("never", step(1, 99, List.of(), StepSpec.Trait.LASTS)));
+      simulation.run(500);
       SimulatedWorker other = new SimulatedWorker("w2", 16);
-      lab.workers.put(other.info.id(), other);
-      lab.post(new JobEvent.WorkerSeen(other.info));
-      lab.post(JobSimulation.draining(leaving));
-      lab.run(1_500);
+      simulation.workers.put(other.info.id(), other);
+      simulation.post(new JobEvent.WorkerSeen(other.info));
+      simulation.post(JobSimulation.draining(leaving));
+      simulation.run(1_500);
       assertTrue(other.runs(TaskName.parse("s.0.0.0")));
     }
 
     @Test
     public void placesNothingOnDrainingWorkers() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
-      lab.post(JobSimulation.draining(worker));
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 0);
+      JobSimulation simulation = simulation(worker);
+      simulation.post(JobSimulation.draining(worker));
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 0);
     }
 
     @Test
     public void placesNothingOnWorkersOfAnotherPool() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
+      JobSimulation simulation = simulation(worker);
       JobQueue moved = new JobQueue("queue", "host", "/jobs/", "other", 0, 2, 1.5, 250, false);
-      lab.table(new JobTable(2, List.of(moved), List.of()));
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 0);
+      simulation.table(new JobTable(2, List.of(moved), List.of()));
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 0);
     }
 
     @Test
     public void forgetsWorkersThatLeftEmpty() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = simulation(worker);
-      lab.post(new JobEvent.WorkerUnlisted(worker.info.incarnation()));
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 0);
+      JobSimulation simulation = simulation(worker);
+      simulation.post(new JobEvent.WorkerUnlisted(worker.info.incarnation()));
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 0);
     }
   }
 }
