--- a/core/src/main/java/org/cottontack/core/job/CrashBlame.java
+++ b/core/src/main/java/org/cottontack/core/job/CrashBlame.java
@@ -4,47 +4,52 @@
 import java.util.List;
 
 /**
- * Judges which of the runs on a crashed worker made it crash. The load: one task crashes every
- * worker that starts it, at once or in the middle of its work, and takes all that runs there with
- * it; beside it workers crash by themselves, one at a time or a rack at once. A single crash tells
- * no cause, so a task is blamed only where it lost more workers before than all others there.
+ * Decides which run on a crashed worker made it crash. One task may crash every worker that starts
+ * it, at once or in the middle of its work, together with everything that runs there. Workers also
+ * crash for other reasons, one at a time or a whole rack at once. A single crash does not show its
+ * cause, so a task is blamed only if it has lost more workers before than every other task there.
  */
 final class CrashBlame {
 
   /**
-   * Crashes from which on a task is a suspect. With one, everything on a rack that is lost by
-   * itself would be, and wait for workers without another suspect.
+   * Number of crashes from which a task is a suspect. With a threshold of one, every task on a rack
+   * that is lost for another reason would be a suspect and wait for a worker without another
+   * suspect.
    */
   static final int SUSPECT_CRASHES = 2;
 
-  /** Times blamed after which a task is given up: a worker may crash by itself beside a suspect. */
+  /**
+   * Number of times a task is blamed before it is abandoned. One is not enough, because a worker
+   * may crash for another reason beside a suspect.
+   */
   private static final int MOST_BLAMED = 2;
 
   /**
-   * Crashes after which a task is given up whatever else ran there. The platform allows less than
-   * three starts after the third crash.
+   * Number of crashes after which a task is abandoned whatever else ran on the workers. The
+   * platform allows fewer than three starts after the third crash.
    */
   private static final int MOST_CRASHES = 5;
 
   /**
-   * Crashes after which each further run counts like one, however it ends: what the platform bounds
-   * from the third crash on are starts.
+   * Number of crashes after which each further run counts as a crash, however it ends, because what
+   * the platform limits from the third crash on is starts.
    */
   private static final int LAST_RUNS_CRASHES = 3;
 
   /**
-   * Time for which a worker has to have listed a lasting run to clear it, in milliseconds. A
-   * lasting run is on some worker all day and sees many crash, none of them for its sake.
+   * Time for which a worker must have listed a run of a long-running task to clear it, in
+   * milliseconds. Such a task runs on some worker all day and sees many workers crash for other
+   * reasons.
    */
   private static final long CLEARED_MILLIS = 1_000;
 
   private CrashBlame() {}
 
   /**
-   * Takes in that a worker crashed.
+   * Records that a worker crashed.
    *
-   * @param runs what had been placed there
-   * @return tasks that are to be given up
+   * @param runs the runs that had been placed there
+   * @return the tasks to abandon
    */
   static List<Task> crashed(Collection<Task> runs) {
     List<Task> suspects = runs.stream().filter(CrashBlame::mayBeCause).toList();
@@ -54,23 +59,23 @@
   }
 
   /**
-   * Takes in that runs ended without being done, and without a crash that is known.
+   * Records that runs ended without being done and without a known crash.
    *
    * @param runs the tasks that they were runs of
-   * @return tasks that are to be given up
+   * @return the tasks to abandon
    */
   static List<Task> endedUndone(Collection<Task> runs) {
     runs.stream().filter(task -> task.crashes >= LAST_RUNS_CRASHES).forEach(task -> task.crashes++);
     return runs.stream().filter(CrashBlame::shouldAbandon).toList();
   }
 
-  /** Returns whether a lasting run has shown that it does not crash its worker. */
+  /** Returns whether a run of a long-running task has shown that it does not crash its worker. */
   static boolean cleared(Task task) {
     return task.spec.is(StepSpec.Trait.LASTS)
         && task.listedMillis - task.placedMillis >= CLEARED_MILLIS;
   }
 
-  /** Returns whether a task is to run where no other suspect does. */
+  /** Returns whether a task may run only where there is no other suspect. */
   static boolean suspect(Task task) {
     return task.crashes >= SUSPECT_CRASHES;
   }
@@ -88,7 +93,11 @@
             .allMatch(other -> lessLikely(other, task));
   }
 
-  /** A run that was listed has lived for a while; one that was not, and has a past, may be it. */
+  /**
+   * Returns whether {@code other} is a less likely cause of the crash than {@code task}. A run that
+   * was listed has survived for a while, so an unlisted run of a task with earlier crashes may be
+   * the cause instead.
+   */
   private static boolean lessLikely(Task other, Task task) {
     boolean sooner = listed(task) && !listed(other) && other.crashes > 0;
     return other.crashes < task.crashes && !sooner;
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -6,16 +6,19 @@
 import java.util.stream.Stream;
 import org.cottontack.core.id.DataCentreId;
 
-/** Which workers there are, and what is done about those that leave or do not answer. */
+/** Keeps track of the workers and handles those that leave or do not answer. */
 final class Fleet {
 
   /**
-   * Longest lease that a worker grants whatever an order says, in milliseconds: 10 s on a clock
-   * that is 2 % slow.
+   * Longest lease that a worker accepts regardless of what an order asks for, in milliseconds: 10 s
+   * on a clock that is 2 % slow.
    */
   static final long LONGEST_LEASE_MILLIS = 10_300;
 
-  /** Time between looks at a worker that lists held ends: it waits for no further one. */
+  /**
+   * Time between polls of a worker with deferred acknowledgements, in milliseconds. The worker
+   * answers such a poll at once, without waiting for a further completion.
+   */
   private static final long DEFERRED_ACKNOWLEDGEMENT_POLL_MILLIS = 100;
 
   private final Term term;
@@ -33,7 +36,8 @@
   void seen(WorkerInfo info) {
     Worker present = term.workers.get(info.id());
     if (present != null && present.supersedes(info.incarnation())) {
-      // Births may be wrong where clocks were set back: an answer shows which life leads.
+      // Start times may be wrong where clocks were set back. An answer shows which incarnation is
+      // the current one.
       present.staleEntry = Optional.of(info);
       orders.poll(present, 0);
       return;
@@ -60,7 +64,7 @@
     }
   }
 
-  /** Takes in which data centres the operator empties. */
+  /** Handles a change of the data centres that the operator evacuates. */
   void evacuated(Set<DataCentreId> dataCentres) {
     long now = term.now.mono();
     Set<DataCentreId> before = term.evacuations.all();
@@ -83,7 +87,7 @@
     term.roomChanged = true;
   }
 
-  /** Says what still runs in the data centres that are being emptied. */
+  /** Logs what still runs in the data centres that are being evacuated. */
   void logEvacuations() {
     term.evacuations.all().stream()
         .sorted()
@@ -95,20 +99,24 @@
         event, dataCentre, Evacuations.remaining(term.workers.values(), dataCentre) + more);
   }
 
-  /** Returns the worker that leads the life which an entry speaks of. */
+  /**
+   * Returns the worker for the incarnation that a registry entry describes, after adding or
+   * replacing the worker if necessary.
+   */
   private Worker workerFor(WorkerInfo info) {
     Worker known = term.workers.get(info.id());
     if (known == null) {
       return term.add(info, term.inheritedLeaseEndMillis);
     }
-    // Of one that is not listed nothing is known but its identifier and what was placed there.
+    // Of an unlisted worker, only the identifier and the runs placed on it are known.
     boolean same = !known.info.reachable() || known.incarnation().equals(info.incarnation());
     return same ? known : restarted(known, info);
   }
 
   /**
-   * Replaces a worker by its next life. What ran there has ended, but an order on its way may still
-   * reach the next life, so what was or may have been started waits for that one's first answer.
+   * Replaces a worker by its next incarnation. The runs of the old one have ended, but an order in
+   * flight may still reach the next one. Runs that were or may have been started are therefore kept
+   * until the first answer of the next incarnation.
    */
   private Worker restarted(Worker before, WorkerInfo info) {
     long leaseEnd = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
@@ -120,8 +128,9 @@
   }
 
   /**
-   * Takes in that another life of a worker has answered. Answers may overtake each other: one of an
-   * earlier life, asked before the present one was last heard, says nothing.
+   * Handles an answer from another incarnation of a worker. Answers may arrive out of order: an
+   * answer of an earlier incarnation to a poll sent before the current one last answered counts as
+   * no answer.
    */
   void otherIncarnationAnswered(Worker worker, long startTimeMillis, long sentMillis) {
     WorkerIncarnation incarnation = new WorkerIncarnation(worker.info.id(), startTimeMillis);
@@ -145,8 +154,8 @@
   }
 
   /**
-   * Returns other workers at a worker's address. When one of them is registered, those that no
-   * longer are have ended, with all that ran there: their leases need not be waited out.
+   * Returns the other workers at a worker's address. Once one of them is registered, those that no
+   * longer are have ended together with all their runs, so their leases need not be waited out.
    */
   private Stream<Worker> othersAtAddress(WorkerInfo info) {
     return term.workers.values().stream()
@@ -175,8 +184,9 @@
       term.forget(worker);
       return;
     }
-    // A stop of a run that nobody wants goes out again only after a look that shows the run. Were
-    // the worker idle then, a cancelled job's run would outlive a lost stop by seconds.
+    // A stop of a run that is no longer needed is resent only after a poll that lists the run. If
+    // the worker counted as idle meanwhile, a run of a cancelled job would survive a lost stop by
+    // seconds.
     boolean empty = worker.placed.isEmpty() && worker.orphans.isEmpty();
     boolean idle = empty && !worker.listsCompletions && !unreachable;
     long gap = idle ? term.timing.idlePollMillis() : term.timing.pollRetryMillis();
@@ -199,7 +209,9 @@
         .forEach(task -> orders.stop(worker, task.key()));
   }
 
-  /** Says once how long the tasks of a worker out of touch have to wait for its leases to end. */
+  /**
+   * Logs once how long the tasks of an unreachable worker have to wait for its leases to expire.
+   */
   private void logLeaseWait(Worker worker) {
     if (worker.awaitsLeaseEnd() && !worker.leaseWaitLogged) {
       String detail =
@@ -214,10 +226,11 @@
   }
 
   /**
-   * Moves a task that lasts off a worker that is about to leave. Were the leader to change just
-   * after it left, the next one would wait out the leases of a worker that it never reached, and
-   * the task would be away for 9 s. One at a time, and only when none waits already: a task that
-   * finds no room elsewhere is better off where it is.
+   * Moves a long-running task off a worker that is about to leave. If the leader changed right
+   * after the worker left, the next leader would wait out the leases of a worker that it never
+   * reached, and the task would be absent for 9 s. Tasks move one at a time, and only while no
+   * other long-running task is waiting: a task for which there is no capacity elsewhere had better
+   * stay where it is.
    */
   private void moveLongRunningTask(Worker worker) {
     boolean oneWaits =
--- a/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
+++ b/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 import org.cottontack.core.id.WorkerId;
 
-/** What a leader keeps of each worker identifier over all lives that have it. */
+/** A leader's state of each worker identifier that is shared by all its incarnations. */
 final class IncarnationHistory {
 
   private record Last(WorkerIncarnation incarnation, int restarts) {}
@@ -16,7 +16,7 @@
   private final Map<WorkerId, Acknowledgements> acknowledgements = new HashMap<>();
   private final Map<WorkerId, LateLeases> lateLeases = new HashMap<>();
 
-  /** Takes in which life a worker leads, and returns how often it has started again. */
+  /** Records a worker's current incarnation and returns how often the worker has restarted. */
   int restarts(WorkerIncarnation incarnation) {
     return last.merge(incarnation.worker(), new Last(incarnation, 0), IncarnationHistory::next)
         .restarts();
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Returns the lives of workers whose next ones may get acknowledgements that were meant for them.
+   * Returns the incarnations whose acknowledgements may reach the next incarnation of their worker.
    *
-   * @param known whether a worker is there
+   * @param known whether a worker is currently known
    */
   Set<WorkerIncarnation> acknowledged(Predicate<WorkerId> known, long nowMillis) {
     return acknowledgements.entrySet().stream()
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * What becomes of runs whose worker is lost: they wait for another one, but for those of a task
- * that made it crash again and again.
+ * Handles the runs of lost workers. Their tasks wait for another worker, except for a task that has
+ * crashed its workers repeatedly.
  */
 final class LostWorkers {
 
@@ -17,11 +17,11 @@
     this.lifecycle = lifecycle;
   }
 
-  /** Takes in that a worker's life has ended, and all that ran there with it. */
+  /** Handles that a worker's incarnation has ended, together with all its runs. */
   void replaced(Worker worker) {
     term.logEvent("worker.reborn", worker.info.id(), "runs=" + worker.placed.size());
     releaseLost(worker, !left(worker));
-    // Whoever has its address now refuses orders for another identifier.
+    // The process that has its address now refuses orders for another identifier.
     term.jobs.values().stream()
         .flatMap(Job::tasks)
         .filter(task -> task.pinnedTo(worker.info.id()))
@@ -29,24 +29,24 @@
     term.workers.remove(worker.info.id());
   }
 
-  /** Takes in that all leases of a worker out of touch have ended. */
+  /** Handles that all leases of an unreachable worker have ended. */
   void leasesExpired(Worker worker) {
     Set.copyOf(worker.orphans.keySet()).forEach(worker::removeOrphan);
     if (worker.placed.isEmpty()) {
       return;
     }
     term.logEvent("worker.lapsed", worker.info.id(), "runs=" + worker.placed.size());
-    // One that is still listed may live, cut off from us alone.
+    // A worker that is still listed may be alive and unreachable only for this leader.
     releaseLost(worker, !worker.registered && !left(worker));
   }
 
   /**
-   * Takes in that a worker has started again under its identifier.
+   * Handles that a worker has restarted under its identifier.
    *
-   * @param worker the next life, which holds the runs by now
-   * @param runs what had been placed on an earlier life
-   * @param left whether that one had said that it leaves
-   * @param sinceMillis from when on looks at the next life were sent
+   * @param worker the next incarnation, which already holds the runs
+   * @param runs the runs that were placed on an earlier incarnation
+   * @param left whether that incarnation had announced that it was leaving
+   * @param sinceMillis the time from which polls were sent to the next incarnation
    */
   void restarted(Worker worker, List<Task> runs, boolean left, long sinceMillis) {
     term.logEvent("worker.restarted", worker.incarnation(), "runs=" + runs.size());
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Counts the end of runs with their worker and returns tasks that are to be given up. A crash is
-   * reported by nobody. Not counted, a task that crashes every worker goes to the next one as soon
-   * as the last is back, and no caller's work beside it ends.
+   * Counts the loss of runs together with their worker and returns the tasks to abandon. Nothing
+   * reports a crash. Without this count, a task that crashes every worker would be started on the
+   * next one as soon as the last is back, and no other work beside it would complete.
    */
   private List<Task> countLosses(Worker worker, List<Task> lost, boolean crashed) {
     List<Task> toAbandon = crashed ? CrashBlame.crashed(lost) : CrashBlame.endedUndone(lost);
@@ -90,9 +90,9 @@
   }
 
   /**
-   * Returns whether a worker said that it leaves, which ends what runs there without a crash. One
-   * that was gone before this leader's term said nothing to it: taken for one that left, crashes
-   * beside changes of leaders would have no end.
+   * Returns whether a worker announced that it was leaving, which ends its runs without a crash. A
+   * worker that was gone before this leader's term announced nothing to this leader. If it were
+   * treated as having left, crashes that coincide with leader changes would never be counted.
    */
   static boolean left(Worker worker) {
     return worker.info.reachable() && worker.info.draining();
--- a/core/src/main/java/org/cottontack/core/job/OrderTarget.java
+++ b/core/src/main/java/org/cottontack/core/job/OrderTarget.java
@@ -1,20 +1,20 @@
 package org.cottontack.core.job;
 
 /**
- * Where an order goes.
+ * The worker incarnation that an order is sent to.
  *
- * @param incarnation the life that it is for
- * @param address where the worker is reached, {@code host:port}
- * @param restarts how often this leader has seen the worker start again under its identifier
+ * @param incarnation the incarnation that the order is meant for
+ * @param address the worker's network address, {@code host:port}
+ * @param restarts how often this leader has seen the worker restart under its identifier
  */
 public record OrderTarget(WorkerIncarnation incarnation, String address, int restarts) {
 
-  /** Fencing tokens of one epoch: more restarts than a worker can have in one term. */
+  /** Number of fencing tokens per epoch: more than a worker can restart in one term. */
   private static final int TOKENS_PER_EPOCH = 100_000;
 
   /**
-   * Returns the fencing token of an order. It rises with each restart: an order to an earlier life
-   * that arrives late would otherwise be carried out by the next, which has the same name.
+   * Returns the fencing token of an order. It rises with each restart. Otherwise a late order to an
+   * earlier incarnation would be carried out by the next one, which has the same identifier.
    */
   public long fencingToken(long epoch) {
     return epoch * TOKENS_PER_EPOCH + Math.min(restarts, TOKENS_PER_EPOCH - 1);
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -1,18 +1,19 @@
 package org.cottontack.core.job;
 
 /**
- * Orders to workers and their answers. An order without an answer may be carried out later, after
- * newer ones, so a place counts as taken until a worker's lists say otherwise.
+ * Sends orders to workers and handles their answers. An order without an answer may be carried out
+ * later, even after newer orders, so its place on the worker counts as taken until the worker's
+ * lists show otherwise.
  */
 final class Orders {
 
   /**
-   * Least lease of a run that starts, in milliseconds: over the longest wait for the next look at
-   * its worker, 2 s, and for a takeover after that.
+   * Minimum lease of a run that starts, in milliseconds. It covers the longest wait for the next
+   * poll of its worker, 2 s, and a leader takeover after that.
    */
   private static final long LEAST_START_LEASE_MILLIS = 5_500;
 
-  /** Least lease that is left where a look brings none, in milliseconds. */
+  /** Minimum remaining lease at which a poll may grant no lease, in milliseconds. */
   private static final long LEAST_LEFT_LEASE_MILLIS = 7_000;
 
   private final Term term;
@@ -30,7 +31,9 @@
     }
   }
 
-  /** Sends a start, also again, when what the next leader has to know of it is stored. */
+  /**
+   * Sends or resends a start. Called once the data that the next leader needs about it is stored.
+   */
   void start(Task task) {
     Worker worker = term.workerOf(task);
     if (task.startInDoubt) {
@@ -38,7 +41,7 @@
       retry(worker, task);
       return;
     }
-    // Its capacity may have shrunk while the placement was stored.
+    // The worker's capacity may have shrunk while the placement was being stored.
     if (!worker.usable(term.now.mono()) || worker.shrunk()) {
       term.release(task);
       return;
@@ -63,11 +66,15 @@
   }
 
   /**
-   * Returns until when, on our clock, a worker may carry out a start. While a look has given what
-   * runs there a lease that lasts, the start needs to bring none, and ends as soon as by what is
-   * known now nothing may begin: held on its way it would start work of a job that was cancelled.
-   * Where none is known to be in force, so short a lease would end the run. That is what a run
-   * needs whose end may not be listed: whatever becomes of other orders, it is not done.
+   * Returns until when, on our clock, a worker may carry out a start.
+   *
+   * <p>Where polls have given the runs on the worker a lease that lasts long enough, the start does
+   * not have to grant one. It then expires as soon as the leader's current state no longer permits
+   * starts: a delayed start could otherwise begin work of a job that has been cancelled. Where no
+   * lease is confirmed to be in force, a deadline that short would end the run.
+   *
+   * <p>A short-lease run needs exactly that, because its completion may never be listed: whatever
+   * happens to other orders, the run ends before it can be done.
    */
   private long startDeadline(Worker worker, Task task) {
     if (task.shortLease) {
@@ -81,9 +88,10 @@
   }
 
   /**
-   * Returns the end, on our clock, of the lease that a start brings: that of the last look, while
-   * it lasts. Orders to a worker that is lost, sent before that is noticed, would otherwise put off
-   * the end of its leases, and with it the return of all that ran there.
+   * Returns the end, on our clock, of the lease that a start grants. This is the end of the lease
+   * that the last poll granted while that lasts long enough. Otherwise, orders sent to a lost
+   * worker before the loss is detected would delay the end of its leases, and with it the restart
+   * of everything that ran there.
    */
   private long startLeaseEnd(Worker worker) {
     long given = worker.clock.lastLeaseEndMillis();
@@ -91,9 +99,9 @@
   }
 
   /**
-   * Says once of each run that a worker has it though its job is known to be cancelled.
+   * Logs, once per run, that a worker has a run although its job is known to be cancelled.
    *
-   * @param evidence what showed it
+   * @param evidence what showed that the worker has the run
    */
   void logCancelledRun(Worker worker, Task task, String evidence) {
     if (task.job.phase == JobPhase.CANCELLED && !task.cancelNoted) {
@@ -114,9 +122,9 @@
   }
 
   /**
-   * Takes in the answer to a start.
+   * Handles the answer to a start.
    *
-   * @return whether it says that the worker's life has ended
+   * @return whether the answer says that the worker's incarnation has ended
    */
   boolean startEnded(JobEvent.StartEnded event) {
     Worker worker = term.worker(event.worker()).orElse(null);
@@ -154,22 +162,22 @@
       case REBORN -> {
         return true;
       }
-      default -> throw new IllegalStateException("no such result: " + event.result());
+      default -> throw new IllegalStateException("unknown start result: " + event.result());
     }
     return false;
   }
 
-  /** Takes in that a worker has seen a higher fencing token than its present one. */
+  /** Handles that a worker has seen a higher fencing token than the leader's current one. */
   void fenced(Worker worker) {
     worker.pollInFlight = false;
     term.effects.add(new JobEffect.StepDown("a worker has seen a newer leader"));
   }
 
   /**
-   * Sends an unanswered order again: the worker takes an order for the same run as the same. Not
-   * where its capacity has shrunk meanwhile, as what starts now would slow all that runs there, and
-   * not where nothing may begin by now. Where the first may still be carried out by a later life,
-   * this is stored before.
+   * Resends an unanswered order; the worker treats orders for the same run as one. The order is
+   * withdrawn instead if the worker's capacity has shrunk in the meantime, because a further start
+   * would slow everything that runs there, or if the worker no longer accepts new runs. If the
+   * first order may still be carried out by a later incarnation, this is stored before the resend.
    */
   void retry(Worker worker, Task task) {
     if (task.unwanted() || worker.shrunk() || worker.closed()) {
@@ -193,7 +201,10 @@
     task.confirmedMillis = term.now.mono();
   }
 
-  /** A brief run goes elsewhere: where orders take longer than its lease it would never begin. */
+  /**
+   * Releases a short-lease run so that it is placed on another worker: where orders take longer
+   * than its lease it would never begin.
+   */
   private void handleLateStart(Worker worker, Task task) {
     if (task.shortLease) {
       worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
@@ -206,7 +217,8 @@
   private void placeElsewhere(Worker worker, Task task) {
     worker.avoidUntilMillis = term.now.mono() + term.timing.avoidMillis();
     if (task.startInDoubt) {
-      // An earlier copy of this order may still be on its way and run later; the stop bars it.
+      // An earlier duplicate of this order may still be in flight and begin the run later. The stop
+      // prevents that.
       stop(worker, task.key());
     } else {
       term.release(task);
@@ -222,8 +234,8 @@
     if (task != null && task.runsAs(event.worker(), event.run().run())) {
       task.barred();
     }
-    // A stop that is answered again says nothing new. Counted as news each time, it would put off
-    // for ever that a run which its worker no longer lists is missing.
+    // A repeated answer to a stop carries no new information. If each one confirmed the run again,
+    // a run that its worker no longer lists would never be reported as missing.
     if (task != null
         && task.order != Task.Order.CONFIRMED
         && task.runsAs(event.worker(), event.run().run())) {
@@ -235,7 +247,8 @@
   }
 
   /**
-   * Has the pace ordered again: a run thought to stand still could go on harming its neighbours.
+   * Orders the pace of a run again after the last order was lost. Otherwise a run that is assumed
+   * to be halted could go on slowing its neighbours.
    */
   void paceLost(JobEvent.PaceLost event) {
     Task task = term.find(event.run().task());
@@ -251,14 +264,15 @@
     }
     worker.pollInFlight = true;
     worker.lastPollMillis = term.now.mono();
-    // Only a life that still lists such ends is told which ones are stored. Where it has crashed
-    // unseen, the next life would drop its own ends with these numbers.
+    // Stored completions are acknowledged only to an incarnation that still lists them. If it has
+    // crashed unnoticed, the next incarnation would drop its own completions that have the same
+    // numbers.
     boolean listsAcknowledged =
         worker.listsCompletions
             && worker.firstListedCompletion <= worker.lastAcknowledgedCompletion;
     boolean acknowledges = listsAcknowledged && !worker.silent;
-    // Where the next life may get what names ends it gets no lease with it, and its runs can be
-    // ended by the leases that their starts bring.
+    // If the next incarnation may receive the acknowledgement, the poll grants no lease along with
+    // it. Runs of that incarnation can then be ended by the leases that their starts grant.
     boolean ackOnly = acknowledges && worker.incarnation().identifierReusable();
     long leftMillis = worker.clock.lastLeaseEndMillis() - term.now.mono();
     boolean needed = !worker.placed.isEmpty() && worker.renewsLeases();
@@ -273,10 +287,10 @@
             worker.target(), leaseEnd, acknowledged, ackOnly ? 0 : waitMillis));
   }
 
-  /** Returns the end of the lease that a look brings, on the worker's clock; 0 for none. */
+  /** Returns the end of the lease that a poll grants, on the worker's clock; 0 for none. */
   private long leaseEnd(Worker worker) {
-    // A worker that does not answer may still receive this. Were its leases renewed as well, they
-    // would never be sure to have ended, and its tasks would wait for it for ever.
+    // A worker that does not answer may still receive this poll. If polls kept renewing its leases,
+    // they would never be certain to have ended, and its tasks would wait for it indefinitely.
     boolean renew = worker.clock.known() && !worker.silent && worker.renewsLeases();
     long until = term.grantEndMillis();
     if (!renew || until <= term.now.mono()) {
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -10,29 +10,33 @@
 import java.util.stream.Stream;
 import org.cottontack.core.id.DataCentreId;
 
-/** What the leader knows of a worker; confined to {@link JobScheduler}. */
+/** The leader's state of one worker; confined to {@link JobScheduler}. */
 final class Worker {
 
-  /** Share of their reservation that serving tasks leave idle: they use about 0.42 of it. */
+  /** Share of their reservation that serving tasks leave idle. They use about 0.42 of it. */
   private static final double IDLE_WHILE_SERVING = 0.5;
 
-  /** Different jobs that must fail in a row until the worker is suspected. */
+  /** Number of different jobs that must fail in a row before the worker is suspected. */
   private static final int FAILED_JOBS = 2;
 
-  /** First pause of a suspected worker, in milliseconds: about one task's duration. */
+  /** First pause of a suspected worker, in milliseconds: about the duration of one task. */
   private static final long FIRST_PAUSE_MILLIS = 2_000;
 
   /**
-   * Longest pause is the first one doubled this often: 16 s, after which one task tries it again.
+   * Maximum number of times the first pause is doubled. The longest pause is 16 s, after which one
+   * task is tried on the worker again.
    */
   private static final int MOST_DOUBLINGS = 3;
 
-  /** What clocks of instances and of the store may differ by in a lease, in milliseconds. */
+  /**
+   * Maximum difference between the clocks of instances and of the store over one lease, in
+   * milliseconds.
+   */
   private static final long EXPIRY_MARGIN_MILLIS = 100;
 
   /**
-   * Age from which on failures are forgotten, in milliseconds: twice the longest pause. Lasting
-   * tasks are never done, so where only they run nothing else would ever clear a worker.
+   * Age after which failures are forgotten, in milliseconds: twice the longest pause. Long-running
+   * tasks are never done, so where only they run no success would ever clear a worker.
    */
   private static final long FAILURES_KEPT_MILLIS = 32_000;
 
@@ -46,7 +50,10 @@
   private List<Task> services = List.of();
   private Optional<ContentionSnapshot> contention = Optional.empty();
 
-  /** Its last entry, where that speaks of a life that began before the one that has answered. */
+  /**
+   * The worker's latest registry entry, if it describes an incarnation that started before the one
+   * that has answered.
+   */
   Optional<WorkerInfo> staleEntry = Optional.empty();
 
   boolean registered;
@@ -56,19 +63,19 @@
   boolean leaseWaitLogged;
   long lastPollMillis = Long.MIN_VALUE / 2;
 
-  /** When its last answer came. */
+  /** When its last answer arrived. */
   long lastAnswerMillis;
 
-  /** End, on our clock, of the lease that the last look brings; 0 when it brings none. */
+  /** End, on our clock, of the lease that the last poll grants; 0 when it grants none. */
   long offeredLeaseEndMillis;
 
-  /** Latest end, on our clock, of a lease that an answered look brought. */
+  /** Latest end, on our clock, of a lease granted by a poll that was answered. */
   private long confirmedLeaseEndMillis;
 
-  /** Whether its last answer listed ends. */
+  /** Whether its last answer listed completions. */
   boolean listsCompletions;
 
-  /** Lowest number of the ends that its last answer listed. */
+  /** Lowest number among the completions that its last answer listed. */
   long firstListedCompletion;
 
   long avoidUntilMillis;
@@ -79,10 +86,10 @@
   private long failedMillis;
   SuppressedCompletions suppressedCompletions = new SuppressedCompletions();
 
-  /** Shared by all lives that this leader has seen. */
+  /** Shared by all incarnations that this leader has seen. */
   final Acknowledgements acknowledgements;
 
-  /** Shared by all lives that this leader has seen. */
+  /** Shared by all incarnations that this leader has seen. */
   final LateLeases lateLeases;
 
   DeferredAcknowledgements deferredAcknowledgements = new DeferredAcknowledgements();
@@ -93,23 +100,24 @@
   long servingCpu;
 
   /**
-   * A task that fills and has ended: reports cover half a second, so its effect shows for as long.
+   * The load of a best-effort task that has ended. Reports cover half a second, so they include its
+   * load for that long after its end.
    *
-   * @param image what it ran
+   * @param image the image that it ran
    * @param load processor time that it used, in thousandths of a core
    * @param endedMillis when it ended
    */
   record ResidualLoad(String image, double load, long endedMillis) {}
 
   /**
-   * Creates what is known of a worker that was not asked yet.
+   * Creates the state of a worker that has not been polled yet.
    *
-   * @param info what it says of itself
-   * @param evacuations the data centres that get nothing new
-   * @param restarts how often it has started again under its identifier in this term
-   * @param inheritedLeaseEndMillis when leases that others gave have ended, on our steady clock
-   * @param acknowledgements what was acknowledged to the lives before
-   * @param lateLeases what may bring leases that were meant for the lives before
+   * @param info the worker's registry entry
+   * @param evacuations the data centres that get no new work
+   * @param restarts how often the worker has restarted under its identifier in this term
+   * @param inheritedLeaseEndMillis when leases that others granted have ended, on our steady clock
+   * @param acknowledgements what was acknowledged to earlier incarnations
+   * @param lateLeases orders that may bring leases meant for earlier incarnations
    */
   Worker(
       WorkerInfo info,
@@ -130,35 +138,38 @@
     return info.incarnation();
   }
 
-  /** Returns whether a life is taken for one before this, which has answered. */
+  /**
+   * Returns whether an incarnation is taken for one that started before this one, which has
+   * answered.
+   */
   boolean supersedes(WorkerIncarnation other) {
     return everAnswered
         && other.identifierReusable()
         && other.startTimeMillis() < incarnation().startTimeMillis();
   }
 
-  /** Returns whether its entry may speak of a life. */
+  /** Returns whether the worker's registry entry may describe an incarnation. */
   boolean listedAs(WorkerIncarnation incarnation) {
     return incarnation().equals(incarnation)
         || staleEntry.map(WorkerInfo::incarnation).filter(incarnation::equals).isPresent();
   }
 
-  /** Returns where orders to it go. */
+  /** Returns the target of orders to this worker. */
   OrderTarget target() {
     return new OrderTarget(info.incarnation(), info.address(), restarts);
   }
 
-  /** Returns whether new work may be placed here. */
+  /** Returns whether new work may be placed on this worker. */
   boolean usable(long nowMillis) {
     return registered && everAnswered && !silent && !closed() && nowMillis >= avoidUntilMillis;
   }
 
-  /** Returns the highest end that may be acknowledged once it is stored. */
+  /** Returns the highest completion number that may be acknowledged once it is stored. */
   long lastAcknowledgeableCompletion(long nowMillis) {
     return deferredAcknowledgements.acknowledgeable(lastSeenCompletion, nowMillis);
   }
 
-  /** Returns whether it will be known of a run that begins here whether it was done. */
+  /** Returns whether the leader will be able to tell that a run which begins here was done. */
   boolean admits(StepSpec spec, long nowMillis) {
     if (suppressedCompletions.none()) {
       return true;
@@ -166,31 +177,33 @@
     boolean probed =
         placed.values().stream().anyMatch(task -> SuppressedCompletions.matters(task.spec));
     boolean leased = !orphans.isEmpty() || nowMillis < clock.lastLeaseEndMillis();
-    // A service never ends. It would keep all other work away for as long as it runs here.
+    // A service never ends. Without this exception it would keep all other work off the worker for
+    // as long as it runs there.
     boolean besideService = renewsLeases() && !probed;
     return suppressedCompletions.admits(
         spec, probed, besideService || (placed.isEmpty() && !leased), nowMillis);
   }
 
-  /** Returns whether what runs here is to go on when its leases end. */
+  /** Returns whether the runs on this worker are to continue when their leases end. */
   boolean renewsLeases() {
     return suppressedCompletions.none()
         || placed.values().stream().anyMatch(task -> !SuppressedCompletions.matters(task.spec));
   }
 
   /**
-   * Returns whether nothing may begin here: it is about to leave, or its data centre is emptied.
+   * Returns whether no new run may begin here, because the worker is about to leave or its data
+   * centre is being evacuated.
    */
   boolean closed() {
     return info.draining() || evacuated();
   }
 
-  /** Returns whether the operator empties its data centre. */
+  /** Returns whether the operator is evacuating its data centre. */
   boolean evacuated() {
     return evacuations.cover(info.dataCentre());
   }
 
-  /** Returns whether its room counts as room of its pool. */
+  /** Returns whether its capacity counts towards its pool. */
   boolean countsForPool() {
     return registered && !evacuated();
   }
@@ -199,13 +212,13 @@
     return info.dataCentre().equals(dataCentre);
   }
 
-  /** Returns what its answers have said so far, for a log line. */
+  /** Returns a summary of its answers so far, for a log line. */
   String answerDetails() {
     return "clock=%d seenEnd=%d acknowledgedEnd=%d"
         .formatted(clock.clockMillis(), lastSeenCompletion, lastAcknowledgedCompletion);
   }
 
-  /** Returns whether the worker has less by now than what was placed here. */
+  /** Returns whether the worker's capacity is now less than what was placed on it. */
   boolean shrunk() {
     return !free().holds(Resources.NONE);
   }
@@ -215,10 +228,10 @@
   }
 
   /**
-   * Takes in that a run failed here. One job that fails may be the job's fault; a second one
-   * without a success between points at the worker, which would go on to use up the attempts of all
-   * that is placed on it, the faster the sooner it fails. It is tried again after a pause that
-   * doubles.
+   * Records that a run failed here. If one job fails, the job may be at fault. If a second one
+   * fails without a success in between, the worker is suspected. It would otherwise use up the
+   * attempts of everything placed on it, and all the faster the sooner its runs fail. It is tried
+   * again after a pause that doubles each time.
    */
   void failed(JobId job, long nowMillis) {
     if (nowMillis - failedMillis > FAILURES_KEPT_MILLIS) {
@@ -231,14 +244,14 @@
     }
   }
 
-  /** Takes in that a run was done here. */
+  /** Records that a run was done here. */
   void succeeded() {
     failedJobs.clear();
   }
 
   /**
-   * Returns processor time that neither reservations nor tasks that fill take up. A slowed task
-   * that fills leaves what it may not use to others.
+   * Returns the processor time that neither reservations nor best-effort tasks take up. What a
+   * slowed best-effort task may not use is left to others.
    */
   long leftoverCpu() {
     long bestEffortCpu =
@@ -249,7 +262,8 @@
   }
 
   /**
-   * Takes in that it answered a look that was sent at a time, and took the lease that it brought.
+   * Records that the worker answered a poll sent at the given time and took the lease that it
+   * granted.
    */
   void answered(long sentMillis) {
     if (sentMillis >= lastPollMillis) {
@@ -257,22 +271,26 @@
     }
   }
 
-  /** Returns until when, on our clock, what runs here is known to hold a lease. */
+  /** Returns until when, on our clock, the runs here are confirmed to hold a lease. */
   long confirmedLeaseEndMillis() {
     return confirmedLeaseEndMillis;
   }
 
-  /** Returns when all leases, our own and those of leaders before us, have certainly ended. */
+  /**
+   * Returns when all leases, granted by this leader or by earlier ones, are certain to have ended.
+   */
   long leasesEndedMillis() {
     return Math.max(clock.lastLeaseEndMillis(), inheritedLeaseEndMillis) + EXPIRY_MARGIN_MILLIS;
   }
 
-  /** Returns whether tasks here wait until the leases of this worker, out of touch, have ended. */
+  /**
+   * Returns whether tasks wait for the leases of this worker to expire because it is unreachable.
+   */
   boolean awaitsLeaseEnd() {
     return (silent || !info.reachable()) && !placed.isEmpty();
   }
 
-  /** Returns what decides whether one more task that fills may join. */
+  /** Returns the data that decides whether another best-effort task may be placed here. */
   ContentionSnapshot contention(Interference interference, long nowMillis) {
     if (contention.isEmpty()) {
       contention = Optional.of(ContentionSnapshot.of(this, interference, nowMillis));
@@ -280,7 +298,7 @@
     return contention.get();
   }
 
-  /** Takes in that loads, paces or what runs here have changed. */
+  /** Records that loads, paces or the set of runs on this worker have changed. */
   void changed() {
     contention = Optional.empty();
   }
@@ -312,12 +330,12 @@
     return placed.values().stream().noneMatch(CrashBlame::suspect);
   }
 
-  /** Returns one serving task of each service here. */
+  /** Returns one serving task of each service on this worker. */
   List<Task> services() {
     return services;
   }
 
-  /** Takes in a run that is not in force; returns whether it is the first time. */
+  /** Records a run that is not in force; returns whether it was not recorded before. */
   boolean addOrphan(RunKey run, Resources amount) {
     if (orphans.putIfAbsent(run, amount) != null) {
       return false;
@@ -354,12 +372,12 @@
     return placed.values().stream().filter(task -> task.spec.is(StepSpec.Trait.FILLS));
   }
 
-  /** Returns whether tasks that fill run beside tasks that serve. */
+  /** Returns whether best-effort tasks run beside serving tasks. */
   boolean contended() {
     return !services.isEmpty() && bestEffort().findAny().isPresent();
   }
 
-  /** Returns the share of the worker's processors that an amount is. */
+  /** Returns an amount of processor time as a share of the worker's processors. */
   double share(double cpuMillis) {
     return cpuMillis / Math.max(1, info.capacity().cpuMillis());
   }
--- a/core/src/main/java/org/cottontack/core/job/WorkerClock.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerClock.java
@@ -1,12 +1,16 @@
 package org.cottontack.core.job;
 
 /**
- * Reads a worker's steady clock from afar. A worker's clock may run up to {@link #SLOWEST} as fast
- * as ours, and its answers tell its time only at some moment between question and answer.
+ * Estimates a remote worker's steady clock. A worker's clock may run slower than ours, down to
+ * {@link #SLOWEST} times our rate, and an answer gives its time only at some moment between request
+ * and response.
  */
 final class WorkerClock {
 
-  /** Least speed of a worker's clock against ours; the platform promises 2 % at most. */
+  /**
+   * Minimum rate of a worker's clock relative to ours; the platform guarantees a deviation of at
+   * most 2 %.
+   */
   static final double SLOWEST = 0.98;
 
   private long clockMillis;
@@ -21,14 +25,14 @@
   }
 
   /**
-   * Returns the earliest time, on our clock, at which a life may have begun whose clock said so
-   * much in answer to a question that was sent at the given time.
+   * Returns the earliest time, on our clock, at which an incarnation may have started that reported
+   * the given clock value in response to a request sent at the given time.
    */
   static long earliestStartTime(long clock, long sentMillis) {
     return sentMillis - (long) (clock / SLOWEST);
   }
 
-  /** Returns what the worker's clock said last, in milliseconds; 0 if it never answered. */
+  /** Returns the worker's last reported clock value, in milliseconds; 0 if it never answered. */
   long clockMillis() {
     return clockMillis;
   }
@@ -38,15 +42,16 @@
   }
 
   /**
-   * Returns the end, on the worker's clock, of a lease that is over on ours by the given time even
-   * if the worker's clock is the slowest. A faster one ends it up to 2 % sooner.
+   * Returns the end, on the worker's clock, of a lease that has ended on our clock by the given
+   * time even if the worker's clock is the slowest allowed. A faster clock ends the lease up to 2 %
+   * sooner.
    */
   long leaseEnd(long untilMillis) {
     latestEndMillis = Math.max(latestEndMillis, untilMillis);
     return clockMillis + (long) (SLOWEST * (untilMillis - receivedMillis));
   }
 
-  /** Returns when, on our clock, every lease given so far has ended. */
+  /** Returns when, on our clock, every lease granted so far has ended. */
   long lastLeaseEndMillis() {
     return latestEndMillis;
   }
--- a/core/src/main/java/org/cottontack/core/job/WorkerIncarnation.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerIncarnation.java
@@ -3,29 +3,29 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * One life of a worker. A worker that crashed may start again under its identifier: it then runs
- * nothing, and its clock and the numbers of its ends begin anew.
+ * One incarnation of a worker. A worker that crashed may start again under its identifier. It then
+ * runs nothing, and its clock and the numbers of its completions start again from the beginning.
  *
- * @param worker the identifier, which several lives may share
- * @param startTimeMillis when this life began, in milliseconds since 1970; {@link
- *     #UNKNOWN_START_TIME} where the platform does not say so
+ * @param worker the identifier, which several incarnations may share
+ * @param startTimeMillis when this incarnation started, in milliseconds since 1970; {@link
+ *     #UNKNOWN_START_TIME} where the platform does not report it
  */
 public record WorkerIncarnation(WorkerId worker, long startTimeMillis) {
 
-  /** Stands for a beginning that is not known. */
+  /** Start time of an incarnation that did not report one. */
   public static final long UNKNOWN_START_TIME = 0;
 
-  /** Returns the only life of a worker that never starts again under its identifier. */
+  /** Returns the only incarnation of a worker that never restarts under its identifier. */
   public static WorkerIncarnation withUniqueIdentifier(WorkerId worker) {
     return new WorkerIncarnation(worker, UNKNOWN_START_TIME);
   }
 
-  /** Returns whether a later life may have the same identifier. */
+  /** Returns whether a later incarnation may have the same identifier. */
   boolean identifierReusable() {
     return startTimeMillis != UNKNOWN_START_TIME;
   }
 
-  /** Returns whether something said by this worker's identifier may come from this life. */
+  /** Returns whether a message from this worker's identifier may come from this incarnation. */
   boolean matchesStartTime(long millis) {
     return millis == startTimeMillis
         || millis == UNKNOWN_START_TIME
--- a/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerInfo.java
@@ -5,15 +5,15 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * What a worker says of itself when it registers.
+ * Registry entry of a worker.
  *
- * @param incarnation who it is, and since when
+ * @param incarnation its identifier and start time
  * @param pool the pool it belongs to
- * @param address where it is reached, {@code host:port}
+ * @param address its network address, {@code host:port}
  * @param dataCentre its data centre
- * @param capacity what it can hold
+ * @param capacity its total resources
  * @param labels its kind and its rack
- * @param draining whether it is about to leave and takes nothing new
+ * @param draining whether it is about to leave and accepts no new runs
  */
 public record WorkerInfo(
     WorkerIncarnation incarnation,
@@ -26,18 +26,21 @@
 
   private static final String NO_ADDRESS = "";
 
-  /** Returns a worker that is known only because work was once given to it. */
+  /** Returns an entry for a worker that is known only because work was once placed on it. */
   static WorkerInfo unlisted(WorkerIncarnation incarnation) {
     return new WorkerInfo(
         incarnation, "", NO_ADDRESS, new DataCentreId("unknown"), Resources.NONE, List.of(), true);
   }
 
-  /** Returns the identifier, which a later life may have as well. */
+  /** Returns the identifier, which a later incarnation may share. */
   public WorkerId id() {
     return incarnation.worker();
   }
 
-  /** Returns the same of another life at the same place, of which nothing else is known yet. */
+  /**
+   * Returns the entry of another incarnation at the same address, of which nothing else is known
+   * yet.
+   */
   WorkerInfo withIncarnation(WorkerIncarnation next) {
     return new WorkerInfo(next, pool, address, dataCentre, capacity, labels, false);
   }
--- a/core/src/main/java/org/cottontack/core/job/WorkerReport.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReport.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a worker answers when it is looked at.
+ * A worker's response to a poll.
  *
- * @param startTimeMillis when the life that answered began; {@link
- *     WorkerIncarnation#UNKNOWN_START_TIME} where it does not say so
+ * @param startTimeMillis when the incarnation that answered started; {@link
+ *     WorkerIncarnation#UNKNOWN_START_TIME} where it does not report it
  * @param clockMillis the worker's own clock when it answered
- * @param running what runs on it
- * @param completions ends that were not acknowledged yet, oldest first
+ * @param running the runs in progress
+ * @param completions the completions that were not acknowledged yet, oldest first
  */
 public record WorkerReport(
     long startTimeMillis, long clockMillis, List<Running> running, List<Completion> completions) {
@@ -26,7 +26,7 @@
    * @param task the task
    * @param run the run's number
    * @param checkpoint its newest checkpoint, empty when there is none
-   * @param progress how far it has come, in percent; a lasting run is at work at 100
+   * @param progress its progress, in percent; 100 for a long-running task means that it is at work
    * @param load tail of response times in milliseconds for a serving task, otherwise processor use
    */
   public record Running(TaskName task, int run, String checkpoint, int progress, double load) {}
@@ -34,7 +34,7 @@
   /**
    * A run that ended.
    *
-   * @param number rises by one with each end on this life of the worker
+   * @param number rises by one with each completion on this incarnation of the worker
    * @param task the task
    * @param run the run's number
    * @param status how it ended
@@ -43,19 +43,19 @@
   public record Completion(
       long number, TaskName task, int run, CompletionStatus status, String checkpoint) {}
 
-  /** How a run ends. */
+  /** How a run ended. */
   public enum CompletionStatus {
     /** Its work is done. */
     DONE,
-    /** It failed, through its own fault or the worker's. */
+    /** It failed, through a fault of its own or of the worker. */
     FAILED,
-    /** It was stopped on order. */
+    /** It was stopped by an order. */
     STOPPED,
-    /** Its lease lapsed. */
+    /** Its lease expired. */
     LAPSED,
     /** Another member of its gang ended. */
     BROKEN,
-    /** The other members of its gang did not come in time. */
+    /** The other members of its gang did not arrive in time. */
     ALONE
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What workers report: what runs, what has ended, how tasks that share a worker fare. */
+/** Handles worker reports: what runs, what has ended, and how tasks that share a worker perform. */
 final class WorkerReports {
 
   private final Term term;
@@ -51,7 +51,7 @@
       restoreDeferredAcknowledgements(worker, event.report());
       recordEarlierIncarnations(worker, event.sentMillis());
     }
-    // From this answer on the worker refuses an earlier leader's orders.
+    // From this answer on, the worker refuses orders of earlier leaders.
     worker.everAnswered = true;
     worker.silent = false;
     worker.answered(event.sentMillis());
@@ -82,7 +82,10 @@
     }
   }
 
-  /** Takes in which ends a life that answers for the first time may never list. */
+  /**
+   * Records which completions may never be listed by an incarnation that answers for the first
+   * time.
+   */
   private void recordSuppressedCompletions(Worker worker, JobEvent.WorkerReported event) {
     long leaseEnd = term.now.mono() + Fleet.LONGEST_LEASE_MILLIS;
     term.unlistedSuppressions
@@ -93,7 +96,7 @@
     long suppressedUpTo =
         worker.acknowledgements.mayHaveReached(worker.incarnation(), earliestStartTime);
     worker.suppressedCompletions.upTo(suppressedUpTo);
-    // What earlier leaders sent, this one does not know.
+    // This leader does not know what earlier leaders sent.
     boolean inherited = earliestStartTime < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
     if (worker.lateLeases.mayHaveReached(earliestStartTime)
         || inherited
@@ -107,7 +110,10 @@
     term.unlistedSuppressions.remove(worker.info.id());
   }
 
-  /** Takes in which ends of a life that answers for the first time an earlier leader held. */
+  /**
+   * Takes over the acknowledgements that an earlier leader deferred, for an incarnation that
+   * answers for the first time.
+   */
   private void restoreDeferredAcknowledgements(Worker worker, WorkerReport report) {
     DeferredAcknowledgements deferrals = term.unlistedDeferrals.take(worker.incarnation());
     if (!report.completions().isEmpty()) {
@@ -115,7 +121,10 @@
     }
   }
 
-  /** Takes in that what an earlier leader placed on earlier lives of a worker has ended there. */
+  /**
+   * Records that the runs which an earlier leader placed on earlier incarnations of a worker have
+   * ended there.
+   */
   private void recordEarlierIncarnations(Worker worker, long sentMillis) {
     List<Task> runs =
         worker.placed.values().stream()
@@ -134,9 +143,10 @@
   }
 
   /**
-   * Takes a task that fills away from tasks that it may not work beside. While other jobs wait
-   * there is hardly ever a free place for it elsewhere; halted, it would wait for one behind jobs
-   * that came later, and the whole job with it. Stopped, it waits with its job's urgency.
+   * Stops a best-effort task that may not run beside the tasks on its worker. While other jobs
+   * wait, there is rarely free capacity for it elsewhere. If it were only halted, it and its whole
+   * job would wait behind jobs that were submitted later. Once stopped, it waits with the urgency
+   * of its job.
    */
   private void relocate(Worker worker) {
     pacing
@@ -149,8 +159,8 @@
   }
 
   /**
-   * Stops runs that stand still. A worker may answer well while what runs there makes no progress:
-   * the caller sees a job that never ends. The run resumes elsewhere from its checkpoint.
+   * Stops stalled runs. A worker may answer normally while its runs make no progress, and the
+   * caller would see a job that never ends. The run resumes elsewhere from its checkpoint.
    */
   private void abandonStalled(Worker worker) {
     List<Task> stalled =
@@ -173,7 +183,8 @@
     RunKey key = new RunKey(running.task(), running.run());
     Task task = term.find(running.task());
     if (task == null || !task.runsAs(worker.incarnation(), running.run())) {
-      // A run that nobody wants still uses the worker, and it could end beside the wanted one.
+      // A run that is no longer needed still uses the worker, and could complete beside the current
+      // run.
       boolean first =
           worker.addOrphan(key, task == null ? worker.info.capacity() : task.spec.reserved());
       if (first && task != null && task.job.phase == JobPhase.CANCELLED) {
@@ -241,8 +252,8 @@
     }
     term.release(task);
     if (completion.status() == WorkerReport.CompletionStatus.DONE) {
-      // Its worker lived on, so the crashes before had another cause. A failure says nothing: some
-      // workers fail all they are given.
+      // The worker survived this run, so earlier crashes had another cause. A failure proves
+      // nothing, because some workers fail every run they are given.
       task.forgetCrashes();
     } else {
       CrashBlame.endedUndone(List.of(task)).forEach(lifecycle::giveUp);
@@ -269,8 +280,9 @@
   }
 
   /**
-   * Takes in an end of a run that is not in force. One that is done makes the run in force,
-   * wherever it is, a run beside: it is stopped, and the end is final only when that run is over.
+   * Handles a completion of a run that is not in force. If that run was done, the task's current
+   * run, on whichever worker, is redundant: it is stopped, and the completion becomes final only
+   * when the current run is over.
    */
   private void handleEarlierCompletion(
       Worker worker, Task task, WorkerReport.Completion completion) {
@@ -299,7 +311,10 @@
             });
   }
 
-  /** Says how long a run took, and why: a run that is only confirmed now may have begun before. */
+  /**
+   * Logs how long a run took and what slowed it. The duration is approximate: a run that is
+   * confirmed only now may have begun earlier.
+   */
   private void logCompletion(Worker worker, Task task, WorkerReport.Completion completion) {
     long ran = term.now.mono() - task.placedMillis;
     String detail =
@@ -313,7 +328,10 @@
     term.logEvent("run.ended", new RunKey(completion.task(), completion.run()), detail);
   }
 
-  /** Releases tasks whose runs the worker, asked after it had confirmed them, does not have. */
+  /**
+   * Releases tasks whose runs are missing from a worker's answer to a poll that was sent after the
+   * runs were confirmed.
+   */
   private void releaseMissing(Worker worker, Set<RunKey> listed, long sentMillis) {
     worker.placed.values().stream()
         .filter(task -> !listed.contains(task.key()))
