--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -92,7 +92,8 @@
   /**
    * Returns whether a worker announced that it was leaving, which ends its runs without a crash. A
    * worker that was gone before this leader's term announced nothing to this leader. If it were
-   * treated as having left, crashes that coincide with leader changes would never be counted.
+   * treated as having left, crashes that coincide with leader changes would never be counted and
+   * could go on indefinitely.
    */
   static boolean left(Worker worker) {
     return worker.info.reachable() && worker.info.draining();
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -169,7 +169,7 @@
     return deferredAcknowledgements.acknowledgeable(lastSeenCompletion, nowMillis);
   }
 
-  /** Returns whether the leader will be able to tell that a run which begins here was done. */
+  /** Returns whether the leader will be able to tell whether a run that begins here was done. */
   boolean admits(StepSpec spec, long nowMillis) {
     if (suppressedCompletions.none()) {
       return true;
--- a/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of what keeps orders to start from leaving, and from beginning, too late. */
+/** Tests of what prevents start orders from being sent, and runs from beginning, too late. */
 public class BoundedStartsTest {
 
   private static final JobId ID = new JobId("a");
 
-  /** Submits a job whose start stays on its way. */
+  /** Submits a job whose start stays in flight. */
   private static JobSimulation withStartInFlight() {
     JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
     simulation.delay = effect -> effect instanceof JobEffect.StartRun ? 60_000 : 0;
@@ -34,7 +34,7 @@
   /** Orders that wait for their connection. */
   public static class Sending {
 
-    /** Guards against a start that leaves after its job was cancelled. */
+    /** Guards against a start that is sent after its job was cancelled. */
     @Test
     public void sendsNothingOfCancelledJobs() {
       JobSimulation simulation = withStartInFlight();
@@ -44,7 +44,7 @@
       assertFalse(simulation.maySend(start));
     }
 
-    /** Guards against a start that leaves after its task was placed elsewhere. */
+    /** Guards against a start that is sent after its task was placed elsewhere. */
     @Test
     public void sendsNothingThatIsNoLongerPlacedThere() {
       JobSimulation simulation = withStartInFlight();
@@ -55,13 +55,13 @@
     }
   }
 
-  /** Orders that stay on their way. */
+  /** Orders that stay in flight. */
   public static class Ending {
 
     private static final long BOUND_MILLIS = 1_000;
     private static final long LONG_LEASE_MILLIS = 5_000;
 
-    /** Returns a lab in which looks have given a worker a lease that lasts. */
+    /** Returns a simulation in which polls have granted a worker a lease that lasts. */
     private static JobSimulation withLease(SimulatedWorker worker) {
       JobSimulation simulation = simulation(worker);
       simulation.workMillis = 60_000;
@@ -74,7 +74,7 @@
       return starts(simulation).get(starts(simulation).size() - 1);
     }
 
-    /** Guards against a start that is carried out when its job may long be cancelled. */
+    /** Guards against a start that is carried out when its job may have been cancelled long ago. */
     @Test
     public void beginsNothingAfterTheBound() {
       JobSimulation simulation = withLease(new SimulatedWorker("w1", 8));
@@ -89,7 +89,7 @@
       assertEquals(simulation.starts(), 2);
     }
 
-    /** Guards against runs that end with a short bound since they hold no other lease. */
+    /** Guards against runs that end at an early start deadline because they hold no other lease. */
     @Test
     public void grantsLeasesToIdleWorkers() {
       JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
@@ -99,7 +99,7 @@
       assertTrue(lastStart(simulation).deadlineMillis() > simulation.now + LONG_LEASE_MILLIS);
     }
 
-    /** Guards against trust in a lease that a look brings which no answer has confirmed. */
+    /** Guards against relying on a lease granted by a poll that no answer has confirmed. */
     @Test
     public void grantsLeasesWherePollsAreUnanswered() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
--- a/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
@@ -30,10 +30,10 @@
     return task;
   }
 
-  /** Who is blamed. */
+  /** Which task is blamed. */
   public static class Blaming {
 
-    /** Nobody knows more of one run than of the others after a first crash. */
+    /** After a first crash nothing distinguishes one run from the others. */
     @Test
     public void blamesNobodyForFirstCrash() {
       Task task = placed("a", 0);
@@ -59,7 +59,7 @@
       assertEquals(List.of(task.blamed, other.blamed), List.of(0, 0));
     }
 
-    /** A run that lives on a while beside one that has just begun is hardly the cause. */
+    /** A run that survives for a while is an unlikely cause if another has just begun beside it. */
     @Test
     public void blamesNoListedRunBesideOneThatJustBegan() {
       Task task = listed(placed("a", 2), 300);
@@ -68,7 +68,7 @@
       assertEquals(List.of(task.blamed, other.blamed), List.of(0, 0));
     }
 
-    /** An order that never left started nothing. */
+    /** An order that was never sent started nothing. */
     @Test
     public void ignoresWhatCannotHaveBegun() {
       Task task = placed("a", 2);
@@ -77,7 +77,7 @@
       assertEquals(List.of(task.crashes, task.blamed), List.of(2, 0));
     }
 
-    /** Lasting runs see many workers crash in a day. */
+    /** A long-running task sees many workers crash in a day. */
     @Test
     public void ignoresLongRunningTasksThatWereListed() {
       Task task = listed(placed("a", 2, StepSpec.Trait.LASTS), 1_500);
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Who is given up. */
+  /** Which task is abandoned. */
   public static class Abandoning {
 
     @Test
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Two tasks each lost two workers. Started on one worker, both would lose the third, and
-     * neither could be told from the other.
+     * Guards against two tasks that each lost two workers and start on the same one. Both would
+     * lose a third worker, and neither could be distinguished from the other.
      */
     @Test
     public void keepsSuspectsApart() {
--- a/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what is decided when workers crash. */
+/** Tests of decisions after worker crashes. */
 public class CrashingTaskTest {
 
-  /** Most starts of a task that crashes its workers: three, and less than three more. */
+  /** Maximum starts of a task that crashes its workers: three, and fewer than three more. */
   private static final int MOST_STARTS = 5;
 
   private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
@@ -31,7 +31,7 @@
             .toArray(SimulatedWorker[]::new));
   }
 
-  /** Submits a job whose first task ends its worker's life after a while. */
+  /** Submits a job whose first task crashes its worker after the given time. */
   private static void submitFatal(JobSimulation simulation, int tasks, long survivesMillis) {
     simulation.fatal.put(FATAL, survivesMillis);
     simulation.submit(job("bad", step(tasks, 2, List.of())));
@@ -42,14 +42,14 @@
     assertEquals(simulation.phase(FATAL.job()), JobPhase.FAILED);
   }
 
-  /** Lets time pass until the fatal task was started so often, 20 s at most. */
+  /** Runs the simulation until the fatal task was started this many times, for 20 s at most. */
   private static void runUntilStarted(JobSimulation simulation, long starts) {
     for (int i = 0; i < 2_000 && simulation.startsOf(FATAL) < starts; i++) {
       simulation.run(10);
     }
   }
 
-  /** Lets time pass while jobs of four tasks come every 300 ms; returns them. */
+  /** Runs the simulation while a job of four tasks is submitted every 300 ms; returns the jobs. */
   private static List<JobSpec> others(JobSimulation simulation, int count) {
     return IntStream.range(0, count)
         .mapToObj(
@@ -70,7 +70,7 @@
   /** A task that crashes its worker. */
   public static class Bounded {
 
-    /** Guards against a task that crashes one worker after the other without end. */
+    /** Guards against a task that crashes one worker after another indefinitely. */
     @Test
     public void abandonsTasksThatCrashTheirWorkers() {
       JobSimulation simulation = fleet(6, 16);
@@ -81,7 +81,9 @@
       assertComplete(simulation, others.stream());
     }
 
-    /** Guards against blaming the last task to start where the cause had run for a while. */
+    /**
+     * Guards against blaming the last task to start when the cause had been running for a while.
+     */
     @Test
     public void abandonsTasksThatCrashTheirWorkersLater() {
       JobSimulation simulation = fleet(6, 16);
@@ -92,7 +94,9 @@
       assertComplete(simulation, others.stream());
     }
 
-    /** Guards against crashes that go uncounted while the list still holds the dead worker. */
+    /**
+     * Guards against crashes that are not counted while the list still holds the crashed worker.
+     */
     @Test
     public void countsCrashesOfWorkersThatAreStillListed() {
       JobSimulation simulation = fleet(6, 16);
@@ -102,7 +106,7 @@
       assertAbandoned(simulation);
     }
 
-    /** Guards against a failed run that begins the count of crashes anew. */
+    /** Guards against a failed run that resets the count of crashes. */
     @Test
     public void keepsCountAfterFailedRun() {
       JobSimulation simulation = fleet(6, 16);
@@ -119,7 +123,7 @@
       assertAbandoned(simulation);
     }
 
-    /** Guards against starts without end where runs are stopped after three crashes. */
+    /** Guards against unlimited starts where runs are stopped after three crashes. */
     @Test
     public void startsNoSixthTimeHoweverRunsEnd() {
       JobSimulation simulation = fleet(6, 16);
@@ -137,7 +141,7 @@
       assertAbandoned(simulation);
     }
 
-    /** Guards against a count of crashes that each leader begins anew. */
+    /** Guards against a count of crashes that each new leader resets. */
     @Test
     public void countsOverTakeovers() {
       JobSimulation simulation = fleet(6, 16);
@@ -153,10 +157,10 @@
     }
   }
 
-  /** Leaders that die when the worker does. */
+  /** Leaders that die together with the worker. */
   public static class UnobservedCrashes {
 
-    /** Guards against crashes that no leader saw, since it died with the worker. */
+    /** Guards against crashes that no leader saw because it died with the worker. */
     @Test
     public void countsCrashesBeforeTheTerm() {
       JobSimulation simulation = fleet(6, 16);
@@ -173,11 +177,12 @@
   }
 
   /**
-   * Tasks that were only beside one that crashes workers, or on workers that crash by themselves.
+   * Tasks that only ran beside one that crashes workers, or on workers that crash for other
+   * reasons.
    */
   public static class Neighbours {
 
-    /** Guards against giving up jobs whose workers crash for reasons of their own. */
+    /** Guards against abandoning jobs whose workers crash for other reasons. */
     @Test
     public void nothingIsAbandonedWhereWorkersCrashByThemselves() {
       JobSimulation simulation = fleet(12, 16);
@@ -204,7 +209,7 @@
       assertEquals(simulation.phase(longRunning.id()), JobPhase.RUNNING);
     }
 
-    /** Guards against taking what has just started on a lost rack for the cause. */
+    /** Guards against treating tasks that have just started on a lost rack as the cause. */
     @Test
     public void nothingIsAbandonedWhereRacksAreLost() {
       JobSimulation simulation = fleet(6, 16);
@@ -225,7 +230,10 @@
       assertComplete(simulation, others.stream());
     }
 
-    /** A lasting task beside one that crashes workers runs on, wherever both meet. */
+    /**
+     * Guards against stopping a long-running task because it runs beside a task that crashes
+     * workers.
+     */
     @Test
     public void longRunningTasksContinueBesideFatalOnes() {
       JobSimulation simulation = fleet(2, 16);
@@ -241,7 +249,7 @@
     }
   }
 
-  /** Fatal tasks, workers that crash by themselves and leaders that die, all at once. */
+  /** Fatal tasks, unrelated worker crashes and leader losses combined. */
   public static class FaultInjection {
 
     private static final int SEEDS = 8;
@@ -270,7 +278,7 @@
       }
     }
 
-    /** Guards against a sixth start, and against giving up neighbours, beside other faults. */
+    /** Guards against a sixth start, and against abandoning neighbours, during other faults. */
     @Test(dataProvider = "seeds")
     public void onlyFatalTasksAreAbandoned(int seed) {
       Random random = new Random(seed);
--- a/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of decisions while an operator empties data centres. */
+/** Tests of decisions while an operator evacuates data centres. */
 public class EvacuationTest {
 
   private static SimulatedWorker in(String dataCentre, String id) {
@@ -33,10 +33,10 @@
         .count();
   }
 
-  /** Each way in which an order to start can leave. */
+  /** Each way in which a start order can be sent. */
   public static class Starting {
 
-    /** Guards against first starts in a data centre that is being emptied. */
+    /** Guards against first starts in a data centre that is being evacuated. */
     @Test
     public void placesNothingThere() {
       SimulatedWorker there = in("a", "w1");
@@ -51,7 +51,10 @@
       assertEquals(simulation.phase(new JobId("j")), JobPhase.COMPLETE);
     }
 
-    /** Guards against an order that leaves once its placement is saved, after the request. */
+    /**
+     * Guards against an order that is sent after the request because its placement is saved only
+     * then.
+     */
     @Test
     public void sendsNothingThatWaitedForTheStore() {
       SimulatedWorker there = in("a", "w1");
@@ -66,7 +69,7 @@
       assertEquals(simulation.phase(new JobId("j")), JobPhase.COMPLETE);
     }
 
-    /** Guards against an unanswered order that is sent again after the request. */
+    /** Guards against an unanswered order that is resent after the request. */
     @Test
     public void resendsNothing() {
       SimulatedWorker there = in("a", "w1");
@@ -86,7 +89,10 @@
       assertEquals(there.count(), 1);
     }
 
-    /** Guards against starts on the next life of a worker there, under either identifier. */
+    /**
+     * Guards against starts on the next incarnation of a worker there, under the old or a new
+     * identifier.
+     */
     @Test
     public void nextIncarnationGetsNothing() {
       for (boolean keepsIds : new boolean[] {false, true}) {
@@ -125,7 +131,7 @@
       assertEquals(simulation.starts(), 2);
     }
 
-    /** Guards against a run that fails there and is tried again there. */
+    /** Guards against a run that fails there and is retried there. */
     @Test
     public void triesAgainElsewhere() {
       SimulatedWorker there = in("a", "w1");
@@ -155,10 +161,10 @@
     }
   }
 
-  /** What runs in a data centre that is being emptied. */
+  /** Runs in a data centre that is being evacuated. */
   public static class Running {
 
-    /** Guards against users who lose a service that could have gone on. */
+    /** Guards against stopping a service that could have continued. */
     @Test
     public void keepsRunning() {
       SimulatedWorker there = in("a", "w1");
@@ -175,7 +181,7 @@
       assertEquals(simulation.starts(), 8);
     }
 
-    /** Guards against a lasting task that is stopped for a place which it may not have. */
+    /** Guards against stopping a long-running task for a place that it may not use. */
     @Test
     public void tasksOfDrainingWorkersStayWhereOnlyEvacuatedCapacityIsLeft() {
       SimulatedWorker drains = in("b", "w1");
@@ -192,7 +198,7 @@
       assertEquals(drains.count(), 1);
     }
 
-    /** Guards against operators who cannot tell when a data centre is empty. */
+    /** Guards against operators who cannot see when a data centre is empty. */
     @Test
     public void isLogged() {
       JobSimulation simulation = simulation(in("a", "w1"));
@@ -215,7 +221,10 @@
       return job(id, step(tasks, cores, List.of(), 0, "image", 18, StepSpec.Trait.LASTS));
     }
 
-    /** Guards against services that take the last room of short tasks since empty workers count. */
+    /**
+     * Guards against services that take the last capacity of short tasks because evacuated workers
+     * count.
+     */
     @Test
     public void evacuatedCapacityDoesNotCountForThePool() {
       SimulatedWorker rest = in("b", "w2");
@@ -239,10 +248,10 @@
     }
   }
 
-  /** Evacuations among other troubles. */
+  /** Evacuations combined with other faults. */
   public static class FaultInjection {
 
-    /** Seeds of the troubles. */
+    /** Seeds of the faults. */
     @DataProvider
     public Object[][] seeds() {
       return LongStream.range(0, 12).mapToObj(seed -> new Object[] {seed}).toArray(Object[][]::new);
--- a/core/src/test/java/org/cottontack/core/job/JobFixtures.java
+++ b/core/src/test/java/org/cottontack/core/job/JobFixtures.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Jobs, rules and labs that tests of a leader's decisions share. */
+/** Jobs, rules and simulations shared by tests of a leader's decisions. */
 final class JobFixtures {
 
-  /** A usual time until a crashed worker answers again, in milliseconds. */
+  /** Typical time until a crashed worker answers again, in milliseconds. */
   static final long RESTART_MILLIS = 600;
 
   static final JobQueue QUEUE =
@@ -47,7 +47,7 @@
     return simulation;
   }
 
-  /** Returns a lab whose workers are soon back under their identifiers after a crash. */
+  /** Returns a simulation whose workers restart soon after a crash, under their old identifiers. */
   static JobSimulation restartingFleet(int workers) {
     JobSimulation simulation =
         simulation(
--- a/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
@@ -15,7 +15,7 @@
 
   private static final long LEASE_MILLIS = LeaderLease.GRANT_MILLIS;
 
-  /** Steps, attempts and ends on a calm day. */
+  /** Steps, attempts and completions without faults. */
   public static class NormalOperation {
 
     @Test
@@ -77,12 +77,12 @@
     }
   }
 
-  /** What is stored before what is sent. */
+  /** Order of saves and messages. */
   public static class Durability {
 
     /**
-     * The store is away. A placement that was sent without being stored would be unknown to the
-     * next leader, which would start the task again elsewhere while it runs.
+     * Guards against a placement that is sent while the store is unavailable. The next leader would
+     * not know of it and would start the task elsewhere while it runs.
      */
     @Test
     public void startsNothingThatIsNotStored() {
@@ -97,8 +97,9 @@
     }
 
     /**
-     * A task ends while the store is away. Once acknowledged, its worker forgets the end; a leader
-     * that comes next would find neither run nor end and run the finished task again.
+     * Guards against acknowledging a completion while the store is unavailable. The worker then
+     * forgets it, and the next leader would find neither run nor completion and repeat the finished
+     * task.
      */
     @Test
     public void acknowledgesNoCompletionThatIsNotStored() {
@@ -118,12 +119,12 @@
     }
   }
 
-  /** Orders that get no answer, workers that go and come back. */
+  /** Orders without an answer, and workers that disappear and return. */
   public static class UnansweredOrders {
 
     /**
-     * A start gets no answer but was carried out. The leader sends it again; the worker takes the
-     * same run as the same, and the task runs once.
+     * Guards against a second run when a start was carried out but its answer was lost. The leader
+     * resends the start, and the worker treats both as the same run.
      */
     @Test
     public void startsOnceWhenTheAnswerIsLost() {
@@ -145,8 +146,8 @@
     }
 
     /**
-     * A start stays under way for 3 s while its repetition has long run and ended. When it arrives
-     * the worker has seen that run end, so the task is not run a second time.
+     * Guards against a second run when a start is delayed by 3 s and arrives after its duplicate
+     * has run and ended. The worker has seen that run end and refuses the late start.
      */
     @Test
     public void runsOnceWhenAnOrderArrivesLate() {
@@ -167,8 +168,9 @@
     }
 
     /**
-     * A look is on its way when a run begins, and its answer, made before that, arrives after it
-     * without the run. Taken at its word the task would start again beside itself.
+     * Guards against an outdated poll answer. The poll was in flight when a run began, and its
+     * answer, created before that, arrives afterwards without the run. Trusting it would start the
+     * task a second time.
      */
     @Test
     public void olderReportsReleaseNoRun() {
@@ -187,8 +189,8 @@
     }
 
     /**
-     * A worker is cut off while it runs a task. The task starts elsewhere only after its lease has
-     * certainly ended there; until then it would run twice.
+     * Guards against a second run of a task whose worker is cut off. The task starts elsewhere only
+     * after its lease is certain to have ended.
      */
     @Test
     public void waitsOutTheLeaseOfUnreachableWorkers() {
@@ -208,8 +210,8 @@
     }
 
     /**
-     * A leader dies with tasks running. The next one finds them on their workers and leaves them
-     * alone: their callers see one run of each task.
+     * Guards against restarting tasks after a leader change. The new leader finds them on their
+     * workers and leaves them running, so each task runs once.
      */
     @Test
     public void takesOverWithoutStartingAgain() {
@@ -226,8 +228,9 @@
     }
 
     /**
-     * A leader dies between storing a placement and sending its order. The next leader asks the
-     * worker, does not find the run, and starts the task anew under the next number.
+     * Guards against a lost task when a leader dies between storing a placement and sending its
+     * order. The next leader polls the worker, does not find the run, and starts the task again
+     * under the next run number.
      */
     @Test
     public void startsWhatTheLastLeaderOnlyStored() {
@@ -243,9 +246,8 @@
     }
 
     /**
-     * A worker dies with its lists after its task was stored on it, and another life registers at
-     * its address. What ran there is gone at once and starts elsewhere without a wait for the
-     * lease.
+     * Guards against waiting for the lease of a worker that another incarnation has replaced at its
+     * address. Its runs are gone, so their tasks start elsewhere at once.
      */
     @Test
     public void restartsAtOnceWhenAnotherIncarnationAnswers() {
@@ -265,8 +267,8 @@
     }
 
     /**
-     * A worker crashes and starts again at its address; its old entry leaves the list a little
-     * later. Its tasks start at once then, not when the old life's leases would have ended.
+     * Guards against waiting for the leases of a worker that crashed and restarted at its address.
+     * Its tasks start as soon as the old entry leaves the list.
      */
     @Test
     public void restartsAtOnceWhenTheAddressIsTakenOver() {
@@ -307,8 +309,8 @@
     }
 
     /**
-     * A job is accepted and cancelled while a new leader reads its tables; the cancellation reaches
-     * it first. The caller was told that the job is cancelled, so nothing of it may start.
+     * Guards against losing a cancellation that reaches a new leader before the job itself. The
+     * caller was informed that the job is cancelled, so none of it may start.
      */
     @Test
     public void keepsCancellationsThatArriveBeforeTheirJob() {
@@ -322,8 +324,8 @@
     }
 
     /**
-     * A cancelled job's worker is out of reach when the stop is sent and comes back later. The stop
-     * goes out again until the run is gone.
+     * Guards against a run that survives because its worker was unreachable when the stop was sent.
+     * The stop is resent until the run is gone.
      */
     @Test
     public void stopsAgainUntilTheRunIsGone() {
--- a/core/src/test/java/org/cottontack/core/job/JobSimulation.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -19,8 +19,9 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A leader, a store and workers in virtual time. Orders take 2 ms each way and saves 12 ms, unless
- * a test holds them back. {@link SimulationInvariants} are checked at every step and every start.
+ * Simulates a leader, a store and workers in virtual time. Orders take 2 ms each way and saves 12
+ * ms, unless a test delays them. {@link SimulationInvariants} are checked at every step and every
+ * start.
  */
 final class JobSimulation {
 
@@ -28,17 +29,17 @@
   private static final long TICK_MILLIS = 100;
   private static final long STEP_MILLIS = 10;
 
-  /** Time until a slow list shows that a worker has started again, in milliseconds. */
+  /** Time until a slow worker list shows that a worker has restarted, in milliseconds. */
   private static final long LISTING_DELAY_MILLIS = 1_100;
 
-  /** For how long there was no leader before the first one, in milliseconds. */
+  /** How long there was no leader before the first one, in milliseconds. */
   private static final long LEADERLESS_MILLIS = 60_000;
 
   private record ScheduledAction(long atMillis, long order, Runnable action) {}
 
   final Map<WorkerId, SimulatedWorker> workers = new LinkedHashMap<>();
 
-  /** Lives that ended and whose identifier another one has now. */
+  /** Incarnations that ended and whose identifier another one has now. */
   private final List<SimulatedWorker> replaced = new ArrayList<>();
 
   final Map<JobId, String> stored = new HashMap<>();
@@ -47,25 +48,29 @@
   Predicate<JobEffect> lost = effect -> false;
   Predicate<JobEffect> late = effect -> false;
 
-  /** By how many milliseconds an unanswered order is carried out late; 0 for the usual way. */
+  /**
+   * Delay after which an unanswered order is carried out, in milliseconds; 0 for normal handling.
+   */
   ToLongFunction<JobEffect> delay = effect -> 0;
 
-  /** For how long a worker survives a task, in milliseconds; those without an entry do no harm. */
+  /** How long a worker survives a task, in milliseconds; tasks without an entry do no harm. */
   final Map<TaskName, Long> fatal = new HashMap<>();
 
-  /** Whether the list of workers still holds a crashed one when its next life answers. */
+  /** Whether the worker list still holds a crashed worker when its next incarnation answers. */
   boolean listsCrashedWorkers;
 
-  /** Whether a crashed worker comes back under the identifier that it had. */
+  /** Whether a crashed worker restarts under its old identifier. */
   boolean keepsIds;
 
   /** Time until a crashed worker is back, in milliseconds. */
   long restartMillis = 3_000;
 
-  /** How long an order takes to its worker, and an answer back, in milliseconds. */
+  /** One-way delay of orders and answers, in milliseconds. */
   long oneWayDelayMillis = 2;
 
-  /** Longest time that a worker waits for an end before it answers a look, in milliseconds. */
+  /**
+   * Longest time that a worker waits for a completion before it answers a poll, in milliseconds.
+   */
   long longestWaitMillis = 50;
 
   private int crashes;
@@ -113,7 +118,7 @@
     post(new JobEvent.TableChanged(next));
   }
 
-  /** The operator empties these data centres, and no others. */
+  /** Evacuates exactly these data centres. */
   void evacuate(String... dataCentres) {
     evacuated = Stream.of(dataCentres).map(DataCentreId::new).collect(Collectors.toSet());
     post(new JobEvent.DataCentresEvacuated(evacuated));
@@ -124,13 +129,16 @@
     post(new JobEvent.JobArrived(job));
   }
 
-  /** The leader is killed; orders that it has sent are still carried out. */
+  /** Kills the leader; orders that it has sent are still carried out. */
   void killLeader() {
     leader = null;
     waitingSaves.clear();
   }
 
-  /** Another instance takes over with what is stored; the old leader hears nothing any more. */
+  /**
+   * Lets another instance take over with the stored state. The old leader receives no further
+   * events.
+   */
   void takeOver() {
     epoch++;
     waitingSaves.clear();
@@ -171,7 +179,7 @@
     due.add(new ScheduledAction(now + millis, orders, action));
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual time. */
   void run(long millis) {
     long end = now + millis;
     while (now < end) {
@@ -184,7 +192,7 @@
     }
   }
 
-  /** Returns all lives of all workers. */
+  /** Returns all incarnations of all workers. */
   Stream<SimulatedWorker> incarnations() {
     return Stream.concat(workers.values().stream(), replaced.stream());
   }
@@ -223,7 +231,7 @@
         });
   }
 
-  /** Brings the store back; saves that waited are done. */
+  /** Makes the store available again and completes the saves that waited for it. */
   void restoreStore() {
     storeUnavailable = false;
     while (!waitingSaves.isEmpty()) {
@@ -234,10 +242,10 @@
   private void start(JobScheduler from, long token, JobEffect.StartRun order) {
     SimulatedWorker worker = workers.get(order.target().incarnation().worker());
     boolean unanswered = lost.test(order) || !worker.reachable || worker.dead;
-    long held = delay.applyAsLong(order);
-    boolean delayed = late.test(order) || held > 0;
+    long delayMillis = delay.applyAsLong(order);
+    boolean delayed = late.test(order) || delayMillis > 0;
     if (!worker.dead && worker.reachable) {
-      long millis = held > 0 ? held : delayed ? 3_000 : oneWayDelayMillis;
+      long millis = delayMillis > 0 ? delayMillis : delayed ? 3_000 : oneWayDelayMillis;
       Resources need = need(order);
       after(
           millis,
@@ -265,7 +273,9 @@
     }
   }
 
-  /** A worker's life ends with all that runs there; the next one has the same address. */
+  /**
+   * Ends a worker's incarnation with everything that runs there. The next one has the same address.
+   */
   void crash(SimulatedWorker worker) {
     crashes++;
     worker.dead = true;
@@ -300,7 +310,7 @@
         });
   }
 
-  /** Returns the news that a worker is about to leave. */
+  /** Returns the event that a worker is about to leave. */
   static JobEvent draining(SimulatedWorker worker) {
     WorkerInfo info = worker.info;
     return new JobEvent.WorkerSeen(
@@ -314,7 +324,10 @@
             true));
   }
 
-  /** Returns on how many workers runs of a task have begun. */
+  /**
+   * Returns the number of starts of a task's runs on all workers, counting each run once per
+   * worker.
+   */
   long startsOf(TaskName task) {
     return incarnations()
         .flatMap(worker -> worker.starts.keySet().stream())
@@ -333,9 +346,9 @@
 
   private void stop(JobScheduler from, long token, JobEffect.StopRun order) {
     SimulatedWorker worker = workers.get(order.target().incarnation().worker());
-    long held = delay.applyAsLong(order);
-    if (held > 0) {
-      after(held, () -> workers.get(worker.info.id()).stop(order.run(), token));
+    long delayMillis = delay.applyAsLong(order);
+    if (delayMillis > 0) {
+      after(delayMillis, () -> workers.get(worker.info.id()).stop(order.run(), token));
       after(
           900,
           () ->
@@ -357,9 +370,9 @@
     WorkerIncarnation polled = order.target().incarnation();
     WorkerId id = polled.worker();
     long sent = now;
-    long held = delay.applyAsLong(order);
-    if (held > 0) {
-      after(held, () -> workers.get(id).poll(order, token, now));
+    long delayMillis = delay.applyAsLong(order);
+    if (delayMillis > 0) {
+      after(delayMillis, () -> workers.get(id).poll(order, token, now));
       after(800, () -> post(from, new JobEvent.WorkerSilent(polled)));
       return;
     }
@@ -381,12 +394,12 @@
         });
   }
 
-  /** Returns whether an order that waited for its connection may leave now. */
+  /** Returns whether an order that waited for its connection may still be sent. */
   boolean maySend(JobEffect.StartRun start) {
     return leader.maySend(start.target().incarnation(), start.run());
   }
 
-  /** Returns whether the leader may give the lead to an instance of a data centre. */
+  /** Returns whether the leader may yield leadership to an instance of a data centre. */
   boolean mayYieldLeadershipTo(String dataCentre) {
     return leader.mayYieldLeadershipTo(new DataCentreId(dataCentre));
   }
--- a/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
@@ -20,16 +20,16 @@
 /** Tests of orders that get no answer and are carried out seconds later, after newer ones. */
 public class LateOrdersTest {
 
-  /** How long a run that nobody wants may go on after it began, in milliseconds. */
+  /** How long a run that is no longer needed may continue after it began, in milliseconds. */
   private static final long TOLERATED_MILLIS = 3_000;
 
-  /** Latest time at which an order is carried out, in milliseconds after it was sent. */
+  /** Longest delay after which an order is carried out, in milliseconds. */
   private static final long LATEST_MILLIS = 12_000;
 
-  /** How long a leader is silent until the next one has read all jobs, in milliseconds. */
+  /** Time from a leader's last activity until the next one has read all jobs, in milliseconds. */
   private static final long TAKEOVER_MILLIS = 2_500;
 
-  /** A lab whose unwanted runs are timed. */
+  /** Measures how long runs of cancelled jobs continue in a simulation. */
   private static final class CancelledRunTimer {
     final JobSimulation simulation;
     final Set<JobId> cancelled = new HashSet<>();
@@ -46,7 +46,9 @@
       simulation.post(new JobEvent.JobCancelled(id));
     }
 
-    /** Another instance takes over, and reads the cancellations last, as it does in the store. */
+    /**
+     * Lets another instance take over, which reads the cancellations last, as it does in the store.
+     */
     void takeOver() {
       simulation.takeOver();
       cancelled.forEach(id -> simulation.post(new JobEvent.JobCancelled(id)));
@@ -78,7 +80,7 @@
     }
   }
 
-  /** Cancelled jobs whose start is still on its way. */
+  /** Cancelled jobs whose start is still in flight. */
   public static class Cancelling {
 
     private static final JobId ID = new JobId("a");
@@ -91,7 +93,7 @@
           .toArray(Object[][]::new);
     }
 
-    /** Submits a job whose every start stays on its way for so long. */
+    /** Submits a job whose starts all stay in flight for the given time. */
     private static CancelledRunTimer withStartInFlight(long delay) {
       JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
       simulation.workMillis = 60_000;
@@ -102,9 +104,9 @@
     }
 
     /**
-     * A start is unanswered, its job is cancelled, and the start is carried out seconds later. The
-     * stop came first and bars it: the caller was told that the job is cancelled, and nothing of it
-     * may run.
+     * Guards against a run of a cancelled job whose unanswered start is carried out seconds later.
+     * The stop arrived first and prevents it. The caller was informed that the job is cancelled, so
+     * none of it may run.
      */
     @Test(dataProvider = "delays")
     public void runsNothingAfterwards(long delay) {
@@ -115,7 +117,9 @@
       assertEquals(timer.simulation.phase(ID), JobPhase.CANCELLED);
     }
 
-    /** The same, with every stop lost until after the start was carried out. */
+    /**
+     * Guards against the same fault where every stop is lost until the start has been carried out.
+     */
     @Test(dataProvider = "delays")
     public void stopsTheRunWhenStopsWereLost(long delay) {
       CancelledRunTimer timer = withStartInFlight(delay);
@@ -127,7 +131,7 @@
       assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
 
-    /** Guards against a run of a cancelled job of which the log says nothing, or too much. */
+    /** Guards against a run of a cancelled job that is not logged, or logged more than once. */
     @Test(dataProvider = "delays")
     public void logsOnceThatTheRunExists(long delay) {
       CancelledRunTimer timer = withStartInFlight(delay);
@@ -145,8 +149,9 @@
     }
 
     /**
-     * The leader is removed right after the job was cancelled. The next one finds the task placed;
-     * its first look bars older orders, and shows what began before.
+     * Guards against the same fault where the leader is removed right after the cancellation. The
+     * next one finds the task placed. Its first poll makes the worker refuse older orders, and
+     * shows runs that began before.
      */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsWhatBeganBetween(long delay) {
@@ -160,7 +165,10 @@
       assertEquals(timer.simulation.phase(ID), JobPhase.CANCELLED);
     }
 
-    /** The same, with the cancellation stored in the job's progress before the leader goes. */
+    /**
+     * Guards against the same fault where the cancellation is stored in the job's progress before
+     * the leader is removed.
+     */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsWhatWasStoredAsCancelled(long delay) {
       CancelledRunTimer timer = withStartInFlight(delay);
@@ -176,7 +184,10 @@
       assertTrue(timer.longestMillis < TOLERATED_MILLIS, "ran for " + timer.longestMillis);
     }
 
-    /** The next leader finds nothing of the job: it had ended, and its rows were removed. */
+    /**
+     * Guards against the same fault where the next leader finds no trace of the job, because it had
+     * ended and its rows were removed.
+     */
     @Test(dataProvider = "delays")
     public void theNextLeaderStopsRunsOfUnknownJobs(long delay) {
       CancelledRunTimer timer = withStartInFlight(delay);
@@ -191,15 +202,15 @@
     }
   }
 
-  /** How often a leader looks at workers on which a run may begin that nobody wants. */
+  /** How often a leader polls workers on which a run may begin that is no longer needed. */
   public static class Polling {
 
     private static final TaskName GONE = TaskName.parse("gone.0.0.0");
 
     /**
-     * A start and all stops after it are unanswered, and the job is cancelled. As long as the start
-     * may still be carried out the worker is no idle one: it is looked at all the time, so that a
-     * run that begins late is found within a second.
+     * Guards against treating a worker as idle while a start may still be carried out there. The
+     * start and all later stops are unanswered and the job is cancelled. The worker is polled
+     * continuously, so that a run which begins late is found within a second.
      */
     @Test
     public void pollsOftenWhereStartsMayStillArrive() {
@@ -213,7 +224,7 @@
       for (int second = 0; second < 8; second++) {
         int before = polls(simulation);
         simulation.run(1_000);
-        assertTrue(polls(simulation) > before, "no look in second " + second);
+        assertTrue(polls(simulation) > before, "no poll in second " + second);
       }
     }
 
@@ -223,9 +234,10 @@
     }
 
     /**
-     * A new leader finds a run of a job that is no more, beside an end that it cannot store since
-     * the store went away. Its first stop is lost. The worker counted as idle, and was looked at,
-     * and the stop sent again, only 5 s later.
+     * Guards against treating a worker as idle while it runs something that is no longer needed. A
+     * new leader finds a run of a job that no longer exists, and a completion that it cannot store
+     * because the store is unavailable. Its first stop is lost. The worker counted as idle, so it
+     * was polled and the stop resent only 5 s later.
      */
     @Test
     public void obsoleteRunsKeepWorkersFromBeingIdle() {
@@ -259,15 +271,15 @@
     }
   }
 
-  /** Days on which any order may be late. */
+  /** Long simulations in which any order may be late. */
   public static class Soak {
 
     private static final int SEEDS = 15;
 
     /**
-     * Every order, look and stop may stay unanswered and be carried out 2 to 12 s later; jobs come
-     * and are cancelled, leaders change, the store goes for a second. No run of a cancelled job
-     * goes on, whatever came late.
+     * Guards against runs of cancelled jobs that continue because of late orders. Every start, poll
+     * and stop may stay unanswered and be carried out 2 to 12 s later. Jobs are submitted and
+     * cancelled, leaders change, and the store is unavailable for up to 1.5 s.
      */
     @Test
     public void noRunOfCancelledJobsContinues() {
--- a/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
@@ -20,17 +20,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of decisions about workers that crash and start again under the identifier they had. */
+/** Tests of decisions about workers that crash and restart under their old identifier. */
 public class RestartedWorkerTest {
 
   private static SimulatedWorker worker(JobSimulation simulation, int number) {
     return simulation.workers.values().stream().skip(number).findFirst().orElseThrow();
   }
 
-  /** Ends that are numbered anew. */
+  /** Completions whose numbering starts again. */
   public static class Completions {
 
-    /** Guards against ends of a new life that are passed over and acknowledged by old numbers. */
+    /**
+     * Guards against completions of a new incarnation that are skipped and acknowledged because of
+     * numbers of the old one.
+     */
     @Test
     public void startsNothingAgainThatEndedAfterRestart() {
       JobSimulation simulation = restartingFleet(1);
@@ -47,7 +50,7 @@
       assertComplete(simulation, after);
     }
 
-    /** Guards against a stale entry that hides a restart which only answers tell. */
+    /** Guards against a stale registry entry that hides a restart which only answers show. */
     @Test
     public void startsNothingAgainWhereOnlyAnswersShowRestart() {
       JobSimulation simulation = restartingFleet(2);
@@ -61,7 +64,10 @@
       assertComplete(simulation, interrupted);
     }
 
-    /** Guards against a second run of what was ordered before and runs on the next life. */
+    /**
+     * Guards against a second run of a task that was ordered before a restart and runs on the next
+     * incarnation.
+     */
     @Test
     public void startsNothingAgainThatNextIncarnationRuns() {
       JobSimulation simulation = restartingFleet(2);
@@ -76,7 +82,10 @@
       assertEquals(simulation.starts(), 6);
     }
 
-    /** Guards against a save, begun before a restart, that acknowledges ends of the next life. */
+    /**
+     * Guards against a save that began before a restart and acknowledges completions of the next
+     * incarnation.
+     */
     @Test
     public void acknowledgesNothingOfNextIncarnationWithEarlierSave() {
       JobSimulation simulation = restartingFleet(1);
@@ -92,7 +101,9 @@
       assertComplete(simulation, after);
     }
 
-    /** Guards against the same where the next life has ended something in the meantime. */
+    /**
+     * Guards against the same fault where the next incarnation already has a completion of its own.
+     */
     @Test
     public void acknowledgesNoNewCompletionsOfNextIncarnationWithEarlierSave() {
       JobSimulation simulation = restartingFleet(1);
@@ -115,7 +126,10 @@
       assertComplete(simulation, after);
     }
 
-    /** Guards against a lasting task that stays away after it was stopped on a restarted worker. */
+    /**
+     * Guards against a long-running task that stays absent after it was stopped on a restarted
+     * worker.
+     */
     @Test
     public void movesLongRunningTaskOffRestartedWorkerThatDrains() {
       JobSimulation simulation = restartingFleet(2);
@@ -139,7 +153,7 @@
     }
   }
 
-  /** Orders to one life that reach the next. */
+  /** Orders to one incarnation that reach the next. */
   public static class LateOrders {
 
     /** Delays after which an order is carried out, in milliseconds. */
@@ -148,7 +162,7 @@
       return new Object[][] {{700L}, {1_000L}, {1_500L}, {2_000L}, {4_000L}, {8_000L}};
     }
 
-    /** Guards against a start that runs on the next life while its task runs elsewhere. */
+    /** Guards against a start that runs on the next incarnation while its task runs elsewhere. */
     @Test(dataProvider = "delays")
     public void runsNoTaskTwiceWhereNextIncarnationGetsItsStart(long delay) {
       JobSimulation simulation = restartingFleet(2);
@@ -164,7 +178,10 @@
       assertComplete(simulation, jobs);
     }
 
-    /** Guards against an acknowledgement that reaches the next life late and drops its ends. */
+    /**
+     * Guards against a late acknowledgement that reaches the next incarnation and makes it drop
+     * completions.
+     */
     @Test(dataProvider = "delays")
     public void losesNoCompletionWhereNextIncarnationGetsLateAcknowledgement(long delay) {
       JobSimulation simulation = restartingFleet(1);
@@ -182,11 +199,12 @@
     }
   }
 
-  /** Orders that reach a life before its leader does. */
+  /** Orders that reach an incarnation before its leader polls it. */
   public static class BeforeFirstAnswer {
 
     /**
-     * Guards against a start that reaches the life after the next while its task runs elsewhere.
+     * Guards against a start that reaches the second next incarnation while its task runs
+     * elsewhere.
      */
     @Test
     public void runsNoTaskTwiceWhereSecondNextIncarnationGetsItsStart() {
@@ -205,7 +223,10 @@
       assertComplete(simulation, jobs);
     }
 
-    /** Guards against a late copy of a start that the next life carries out for a task done. */
+    /**
+     * Guards against a late duplicate start that the next incarnation carries out for a task that
+     * is done.
+     */
     @Test
     public void runsNothingDoneWhereNextIncarnationGetsDuplicateStart() {
       JobSimulation simulation = restartingFleet(1);
@@ -221,7 +242,10 @@
       assertComplete(simulation, jobs);
     }
 
-    /** Guards against an acknowledgement that makes the next life drop ends it has yet to list. */
+    /**
+     * Guards against an acknowledgement that makes the next incarnation drop completions before it
+     * lists them.
+     */
     @Test
     public void losesNoCompletionWhereAcknowledgementArrivesBeforeLeaderPolls() {
       JobSimulation simulation = restartingFleet(1);
@@ -229,7 +253,7 @@
       submit(simulation, "before", 3);
       simulation.delay =
           effect ->
-              effect instanceof JobEffect.LookAtWorker look && look.acknowledged() > 0 ? 2_500 : 0;
+              effect instanceof JobEffect.LookAtWorker poll && poll.acknowledged() > 0 ? 2_500 : 0;
       simulation.run(2_400);
       simulation.delay = effect -> 0;
       simulation.crash(worker(simulation, 0));
@@ -252,7 +276,7 @@
       assertEquals(simulation.phase(FATAL.job()), JobPhase.FAILED);
     }
 
-    /** Guards against a task that crashes one restarted worker after the other without end. */
+    /** Guards against a task that crashes one restarted worker after another indefinitely. */
     @Test
     public void abandonsTaskThatCrashesWorkersWhichKeepTheirIds() {
       JobSimulation simulation = restartingFleet(4);
@@ -262,7 +286,7 @@
       assertAbandoned(simulation);
     }
 
-    /** Guards against crashes that no leader saw since worker and leader are lost together. */
+    /** Guards against crashes that no leader saw because worker and leader were lost together. */
     @Test
     public void countsRestartsBetweenTwoLeaders() {
       JobSimulation simulation = restartingFleet(4);
@@ -282,7 +306,7 @@
     }
   }
 
-  /** Restarts, late orders and dying leaders, all at once. */
+  /** Restarts, late orders and leader losses combined. */
   public static class FaultInjection {
 
     private static final int SEEDS = 8;
@@ -292,7 +316,7 @@
     /** Longest time from a crash to the loss of the leader, in milliseconds. */
     private static final int LONGEST_UNDETECTED_MILLIS = 900;
 
-    /** Latest time at which an order is carried out, in milliseconds after it was sent. */
+    /** Longest delay after which an order is carried out, in milliseconds. */
     private static final int LATEST_MILLIS = 5_000;
 
     /** Seeds of the faults. */
@@ -301,7 +325,7 @@
       return IntStream.range(0, SEEDS).mapToObj(seed -> new Object[] {seed}).iterator();
     }
 
-    /** More seeds, for what few of them show. */
+    /** More seeds, for faults that only few seeds trigger. */
     @DataProvider
     public Iterator<Object[]> moreSeeds() {
       return IntStream.range(0, MORE_SEEDS).mapToObj(seed -> new Object[] {seed}).iterator();
@@ -313,7 +337,10 @@
       return IntStream.range(0, 100).mapToObj(seed -> new Object[] {seed}).iterator();
     }
 
-    /** Starts and looks are carried out by the life that they are for, or by none. */
+    /**
+     * Delays one order in 20. Delayed starts and polls are carried out by the incarnation that they
+     * are for, or by none.
+     */
     private static long delayForSameIncarnation(JobEffect effect, Random random) {
       if (random.nextInt(20) > 0) {
         return 0;
@@ -334,7 +361,10 @@
       return delayOneIn(6, effect, random);
     }
 
-    /** Stops and looks are carried out seconds late, by whichever life is there, one in so many. */
+    /**
+     * Delays one order in so many. Delayed stops and polls are carried out seconds late, by
+     * whichever incarnation is current then.
+     */
     private static long delayOneIn(int oneIn, JobEffect effect, Random random) {
       if (random.nextInt(oneIn) > 0) {
         return 0;
@@ -392,21 +422,26 @@
       simulation.takeOver();
     }
 
-    /** Guards against work that runs twice or is lost where workers restart beside other faults. */
+    /** Guards against work that runs twice or is lost when workers restart during other faults. */
     @Test(dataProvider = "seeds")
     public void everyJobEndsOnce(int seed) {
       assertComplete(
           simulate(seed, FaultInjection::delayForSameIncarnation, FaultInjection::injectFaults));
     }
 
-    /** Guards against the same where looks reach the next lives of workers before their leader. */
+    /**
+     * Guards against the same fault where polls reach the next incarnations before the leader knows
+     * them.
+     */
     @Test(dataProvider = "moreSeeds")
     public void everyJobEndsOnceWhereNextIncarnationsGetLatePolls(int seed) {
       assertComplete(
           simulate(seed, FaultInjection::delayForAnyIncarnation, FaultInjection::injectFaults));
     }
 
-    /** Guards against the same where the leader is lost while a next life is told apart. */
+    /**
+     * Guards against the same fault where the leader is lost while it distinguishes incarnations.
+     */
     @Test(dataProvider = "hundredSeeds")
     public void everyJobEndsOnceWhereLeaderIsLostAfterCrash(int seed) {
       assertCompleteOrAbandoned(
@@ -416,7 +451,7 @@
               FaultInjection::killLeaderAfterCrash));
     }
 
-    /** Guards against the same where workers crash so often that jobs are given up for it. */
+    /** Guards against the same fault where workers crash so often that jobs are abandoned. */
     @Test(dataProvider = "hundredSeeds")
     public void everyJobEndsOnceWhereWorkersCrashInPairs(int seed) {
       assertCompleteOrAbandoned(
@@ -424,7 +459,10 @@
               seed, FaultInjection::frequentDelayForAnyIncarnation, FaultInjection::crashInPairs));
     }
 
-    /** Jobs are complete, but for those that were given up since workers crashed under them. */
+    /**
+     * Asserts that each job is complete, or failed if it was abandoned because workers crashed
+     * under it.
+     */
     private static void assertCompleteOrAbandoned(JobSimulation simulation) {
       Set<String> abandoned =
           simulation.seen.stream()
--- a/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of decisions about workers that say they have less than before. */
+/** Tests of decisions about workers that report less capacity than before. */
 public class ShrinkingWorkerTest {
 
-  /** Workers whose capacity shrinks while they run, and grows again. */
+  /** Workers whose capacity shrinks while tasks run, and grows again. */
   public static class Starting {
 
     private static final TaskName SECOND = TaskName.parse("b.0.0.0");
@@ -28,7 +28,7 @@
           info.draining());
     }
 
-    /** Returns a lab whose only worker runs a task of three of its eight cores. */
+    /** Returns a simulation whose only worker runs a task that uses three of its eight cores. */
     private static JobSimulation busy(SimulatedWorker worker) {
       JobSimulation simulation = simulation(worker);
       simulation.workMillis = 4_000;
@@ -41,7 +41,7 @@
       return job("b", step(1, 3, List.of()));
     }
 
-    /** Guards against starts beyond what a worker has left. */
+    /** Guards against starts beyond a worker's remaining capacity. */
     @Test
     public void startsNothingBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Guards against an order that leaves after its worker shrank while the placement was stored.
+     * Guards against an order that is sent after its worker shrank while the placement was stored.
      */
     @Test
     public void startsNothingThatWaitedForTheStore() {
@@ -71,7 +71,7 @@
       assertEquals(simulation.startsOf(SECOND), 0);
     }
 
-    /** Guards against an order that is sent again after its worker shrank. */
+    /** Guards against an order that is resent after its worker shrank. */
     @Test
     public void resendsNoOrderBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
--- a/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -11,11 +11,12 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A worker in virtual time: keeps fencing tokens, leases, ends, and bars runs that it has stopped.
+ * A worker in virtual time. It keeps fencing tokens, leases and completions, and refuses starts of
+ * runs that were stopped.
  */
 final class SimulatedWorker {
 
-  /** Longest lease, in milliseconds; a longer one is shortened to it. */
+  /** Longest lease, in milliseconds; a longer one is shortened to this. */
   private static final long LONGEST_LEASE_MILLIS = 10_000;
 
   private static final class ActiveRun {
@@ -38,12 +39,12 @@
   boolean failsAll;
   boolean stalls;
 
-  /** Whether ends are forgotten before they are listed. */
+  /** Whether completions are dropped before they are listed. */
   boolean dropsCompletions;
 
   long token;
 
-  /** How fast its steady clock runs against ours. */
+  /** Rate of its steady clock relative to ours. */
   double speed = 1;
 
   private final Map<RunKey, ActiveRun> running = new HashMap<>();
@@ -54,10 +55,10 @@
   private long leaseEndMillis;
   private final long startTimeMillis;
 
-  /** Runs that were done here, whether their end was listed or not. */
+  /** Runs that were done here, whether or not their completion was listed. */
   final Set<RunKey> done = new HashSet<>();
 
-  /** Tasks whose end as done was acknowledged. */
+  /** Tasks with an acknowledged completion as done. */
   final Set<TaskName> acknowledgedDone = new HashSet<>();
 
   SimulatedWorker(String id, long cores) {
@@ -90,14 +91,16 @@
             false);
   }
 
-  /** Returns the worker that comes at this one's address after a crash. */
+  /** Returns the worker that takes this one's address after a crash. */
   SimulatedWorker nextIncarnation(String id, long now) {
     long cores = info.capacity().cpuMillis() / 1_000;
     return new SimulatedWorker(
         id, cores, info.address(), info.dataCentre().value(), info.pool(), now);
   }
 
-  /** Carries out an order to start; the run is done after the given time, or fails if negative. */
+  /**
+   * Carries out a start order. The run is done after the given time, or fails if that is negative.
+   */
   StartResult start(JobEffect.StartRun order, long epoch, long now, long work, Resources need) {
     if (epoch < token) {
       return StartResult.FENCED;
@@ -158,12 +161,12 @@
         Math.max(leaseEndMillis, Math.min(untilMillis, clock(now) + LONGEST_LEASE_MILLIS));
   }
 
-  /** Its clock begins with its life. */
+  /** Returns its clock, which starts with the incarnation. */
   private long clock(long now) {
     return (long) (speed * (now - startTimeMillis));
   }
 
-  /** Runs make progress all the time, unless they stand still. */
+  /** Returns the progress of runs, which rises all the time unless they stall. */
   private int progress(long now) {
     return stalls ? 3 : loads.isEmpty() ? (int) (now / 10 % 100) : Task.FULL_PROGRESS;
   }
@@ -172,7 +175,9 @@
     return loads.getOrDefault(run.task().job().value(), 0.0);
   }
 
-  /** Lets time pass: ends what is done, kills everything when the lease lapses. */
+  /**
+   * Advances the virtual time: ends runs that are done, and kills all runs when the lease expires.
+   */
   void advance(long now, boolean fails) {
     Iterator<ActiveRun> runs = List.copyOf(running.values()).iterator();
     boolean expired = clock(now) > leaseEndMillis;
@@ -207,7 +212,7 @@
     return !dead && running.keySet().stream().anyMatch(run -> run.task().equals(task));
   }
 
-  /** Returns what runs here now. */
+  /** Returns the runs in progress. */
   Set<RunKey> runs() {
     return dead ? Set.of() : Set.copyOf(running.keySet());
   }
--- a/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulationInvariants.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What has to hold in a lab at every moment, whatever goes wrong there. */
+/** Invariants of a simulation, which hold at every moment whatever faults are injected. */
 final class SimulationInvariants {
 
   private final JobSimulation simulation;
@@ -13,7 +13,10 @@
     this.simulation = simulation;
   }
 
-  /** No task runs twice at a time or after its acknowledged end, and no worker holds too much. */
+  /**
+   * Checks that no task runs twice at a time or after an acknowledged completion, and that no
+   * worker exceeds its capacity.
+   */
   void checkRuns() {
     Set<TaskName> done =
         simulation
@@ -30,17 +33,20 @@
             throw violation(task + " runs " + runs + " times");
           }
           if (done.contains(task) && !isLongRunning(task)) {
-            throw violation(task + " runs after its acknowledged end");
+            throw violation(task + " runs after its acknowledged completion");
           }
         });
     for (SimulatedWorker worker : simulation.workers.values()) {
       if (!worker.info.capacity().holds(worker.used())) {
-        throw violation(worker.info.id() + " holds too much");
+        throw violation(worker.info.id() + " exceeds its capacity");
       }
     }
   }
 
-  /** A start leaves after its placement is stored, and not to an evacuated data centre. */
+  /**
+   * Checks that a start is sent only after its placement is stored, and never to an evacuated data
+   * centre.
+   */
   void checkStart(JobEffect.StartRun start) {
     StepId step = start.run().task().step();
     String line =
@@ -49,7 +55,7 @@
                 step.occurrence(), step.step(), start.run().task().index(), start.run().run());
     String progress = simulation.stored.getOrDefault(step.job(), "");
     if (progress.lines().noneMatch(stored -> stored.startsWith(line))) {
-      throw violation(start.run() + " starts before it is stored");
+      throw violation(start.run() + " starts before its placement is stored");
     }
     SimulatedWorker worker = simulation.workers.get(start.target().incarnation().worker());
     if (simulation.evacuated.contains(worker.info.dataCentre())) {
@@ -57,7 +63,9 @@
     }
   }
 
-  /** A run that is taken for undone was not done by the life that was asked. */
+  /**
+   * Checks that a run which is treated as not done was not done by the incarnation that was polled.
+   */
   void checkMissing(JobEffect.Note note) {
     boolean undone = note.name().equals("run.missing") && !note.detail().endsWith("maybeDone");
     simulation.workers.values().stream()
@@ -67,7 +75,7 @@
         .findAny()
         .ifPresent(
             run -> {
-              throw violation(run + " was done and is taken for undone");
+              throw violation(run + " was done but is treated as not done");
             });
   }
 
--- a/core/src/test/java/org/cottontack/core/job/TestStep.java
+++ b/core/src/test/java/org/cottontack/core/job/TestStep.java
@@ -3,9 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/**
- * Builds steps of jobs for tests: one task of one core and half a second, unless said otherwise.
- */
+/** Builds job steps for tests: by default one task of one core and half a second. */
 final class TestStep {
 
   private int count = 1;
--- a/core/src/test/java/org/cottontack/core/job/TestWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/TestWorker.java
@@ -4,7 +4,7 @@
 import org.cottontack.core.id.DataCentreId;
 import org.cottontack.core.id.WorkerId;
 
-/** Builds workers with tasks at work on them, for tests. */
+/** Builds workers with running tasks for tests. */
 final class TestWorker {
 
   static final double TARGET_MILLIS = 18;
--- a/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of leases that are counted on the clock of a worker. */
+/** Tests of leases that are measured on a worker's clock. */
 public class WorkerClockTest {
 
   /** Ends of leases. */
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A worker's clock is 2 % slow. Counted on an even clock its lease of 10 s would last 0.2 s
-     * longer than the next leader waits, and a task could run twice for that time.
+     * Guards against a task that runs twice because its worker's clock is 2 % slow. Without a
+     * correction its lease of 10 s would last 0.2 s longer than the next leader waits.
      */
     @Test
     public void slowClocksEndLeasesInTime() {
@@ -35,7 +35,7 @@
       assertEquals(leaseEnd(500), 500 + 9_800);
     }
 
-    /** A shorter lease after a longer one does not end what the longer one keeps alive. */
+    /** A shorter lease does not end an earlier, longer one. */
     @Test
     public void theLatestEndCounts() {
       WorkerClock seen = new WorkerClock();
--- a/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
@@ -26,8 +26,9 @@
     }
 
     /**
-     * The leader's data centre is cut off from two others, and callers there see their jobs wait
-     * for the few workers at hand. It gives the lead away once most workers do not answer.
+     * Guards against a leader that keeps leadership while its data centre is cut off from two
+     * others. Jobs there would wait for the few workers it can reach, so it hands over once most
+     * workers do not answer.
      */
     @Test
     public void handsOverWhenCutOffFromMostWorkers() {
@@ -44,7 +45,9 @@
       assertTrue(handOvers(simulation) > 0);
     }
 
-    /** Two equal sides: neither reaches more, and the lead must not go to and fro. */
+    /**
+     * Guards against leadership that moves back and forth between two equal sides of a partition.
+     */
     @Test
     public void staysWhereHalfAnswer() {
       SimulatedWorker here = in("a", "w1");
@@ -61,10 +64,12 @@
   /** Workers that are lost. */
   public static class WorkerLoss {
 
-    /** How long a leader is silent until the next one has read all jobs, in milliseconds. */
+    /** Time from a leader's last activity until the next one has read all jobs, in milliseconds. */
     private static final long TAKEOVER_MILLIS = 2_500;
 
-    /** Longest time that callers bear a lasting task away after its leader's death. */
+    /**
+     * Longest acceptable absence of a long-running task after its leader's death, in milliseconds.
+     */
     private static final long ABSENT_MILLIS = 9_000;
 
     private static final TaskName TASK = TaskName.parse("s.0.0.0");
@@ -83,8 +88,8 @@
     }
 
     /**
-     * A worker is lost with a run that it had listed for some time. Without a line for the run
-     * nobody can tell afterwards which of the runs there made the worker crash.
+     * Guards against a lost worker whose runs are not logged. Without a log line per run, the run
+     * that made the worker crash could not be determined afterwards.
      */
     @Test
     public void logsRunsThatAreLostWithTheirWorker() {
@@ -107,10 +112,10 @@
     }
 
     /**
-     * A worker is lost without notice, and 0.5 s later the leader is killed, before it noticed. The
-     * next leader finds the task placed on a worker that it never reaches. It took the latest end
-     * that a lease of the dead leader could have, 14.5 s from the beginning of its own term, for
-     * the end of this one, and callers saw the task away for 17 s.
+     * Guards against a long absence of a task whose worker is lost without notice and whose leader
+     * is killed 0.5 s later, before it detects the loss. The next leader finds the task on a worker
+     * that it never reaches. It once assumed the latest possible end of the old leader's leases to
+     * be 14.5 s after the start of its own term, and the task was absent for 17 s.
      */
     @Test
     public void longRunningTasksOfLostWorkersReturnSoonAfterTakeover() {
@@ -130,8 +135,8 @@
     }
 
     /**
-     * The same, but the worker is only cut off and goes on, by the slowest clock that a worker may
-     * have. Nothing starts beside it: each step of the lab checks that no task runs twice.
+     * Guards against a second run where the worker is only cut off and continues with the slowest
+     * clock allowed. Each step of the simulation checks that no task runs twice.
      */
     @Test
     public void longRunningTasksOfWorkersCutOffNeverRunTwice() {
@@ -171,8 +176,9 @@
     }
 
     /**
-     * A worker is lost and gets orders until that is noticed, 0.9 s later. They reach nobody, but
-     * each brought a lease that might have: callers saw the lasting task there away for 0.9 s more.
+     * Guards against orders to a lost worker that delay the return of its long-running task. Orders
+     * sent before the loss is detected, 0.9 s later, reach nobody, but each granted a lease that
+     * might have, and the task was absent for 0.9 s longer.
      */
     @Test
     public void ordersToLostWorkersDoNotLengthenTheWait() {
@@ -182,8 +188,9 @@
     }
 
     /**
-     * A worker is lost, and a larger instance asks for the lead. It would count the leases of that
-     * worker anew, from the last renewal of this leader; so it gets the lead once they have ended.
+     * Guards against yielding leadership to a larger instance while leases of a lost worker last.
+     * The new leader would count them again from the last renewal of this leader, so it gets
+     * leadership only after they have ended.
      */
     @Test
     public void keepsLeadershipUntilLeasesOfLostWorkersExpire() {
@@ -198,7 +205,10 @@
       assertTrue(simulation.mayYieldLeadershipTo("dc"));
     }
 
-    /** Logs tell for how long the tasks of a worker that nobody reaches have to wait. */
+    /**
+     * Guards against logs that do not show how long the tasks of an unreachable worker have to
+     * wait.
+     */
     @Test
     public void logsHowLongTasksOfLostWorkersWait() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
@@ -218,12 +228,13 @@
     }
   }
 
-  /** Workers that must get nothing. */
+  /** Workers that must get no new work. */
   public static class Avoidance {
 
     /**
-     * A worker answers well and fails all that it starts. After two jobs it gets no more for a
-     * while, and what failed there is tried elsewhere: callers see their jobs complete.
+     * Guards against a worker that answers normally and fails everything it starts. After two
+     * failed jobs it gets no more for a while, and the failed tasks are retried elsewhere, so all
+     * jobs complete.
      */
     @Test
     public void suspectsWorkersThatFailEverything() {
@@ -243,8 +254,8 @@
     }
 
     /**
-     * A worker answers well and its runs stand still. They are stopped and tried elsewhere; without
-     * that their callers would wait for ever.
+     * Guards against a worker that answers normally while its runs stall. They are stopped and
+     * retried elsewhere; otherwise their callers would wait indefinitely.
      */
     @Test
     public void movesStalledRuns() {
@@ -258,7 +269,10 @@
       assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
 
-    /** Guards against a start that leaves with the save of an earlier placement of its task. */
+    /**
+     * Guards against a start that is sent when the save of an earlier placement of its task
+     * completes.
+     */
     @Test
     public void startsNothingWithSaveOfEarlierPlacement() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
@@ -295,7 +309,8 @@
     }
 
     /**
-     * Guards against an unanswered order that is sent again to a worker which says that it leaves.
+     * Guards against resending an unanswered order to a worker that has announced that it is
+     * leaving.
      */
     @Test
     public void resendsNothingToLeavingWorkers() {
@@ -311,9 +326,10 @@
     }
 
     /**
-     * A worker is about to leave with tasks that last, and the leader changes right after. The new
-     * one would have to wait out the leases of a worker that it never reached, and the tasks would
-     * be away for all that time. They move while the worker drains, as far as there is room.
+     * Guards against long-running tasks that stay on a draining worker. If the leader changed right
+     * after the worker left, the new one would wait out the leases of a worker that it never
+     * reached, and the tasks would be absent that long. They move while the worker drains, as far
+     * as capacity allows.
      */
     @Test
     public void movesLongRunningTasksOffDrainingWorkers() {
@@ -333,8 +349,8 @@
     }
 
     /**
-     * The first order to stop is lost on its way to a worker that drains. It goes out again, and
-     * all lasting tasks leave in time.
+     * Guards against a first stop order that is lost on its way to a draining worker. It is resent,
+     * and all long-running tasks leave in time.
      */
     @Test
     public void lostStopsDoNotKeepLongRunningTasksOnDrainingWorkers() {
@@ -359,8 +375,8 @@
     }
 
     /**
-     * A job that can never run waits for ever. Lasting tasks still leave a worker that drains;
-     * otherwise one such job would tie all of them to workers that go.
+     * Guards against a job that can never run and waits indefinitely. It must not keep long-running
+     * tasks on a worker that drains.
      */
     @Test
     public void unplaceableJobsDoNotKeepLongRunningTasksOnDrainingWorkers() {
