--- a/core/src/main/java/org/cottontack/core/store/Mutation.java
+++ b/core/src/main/java/org/cottontack/core/store/Mutation.java
@@ -6,7 +6,7 @@
  * @param key the row
  * @param expectedVersion the version the row must have, 0 for one that must not exist
  * @param action what is done to the row when the condition holds
- * @param value the new content for {@link ScheduledAction#PUT}, otherwise null
+ * @param value the new content for {@link Action#PUT}, otherwise null
  */
 public record Mutation(StoreKey key, long expectedVersion, Action action, StoredValue value) {
 
