--- a/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
+++ b/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
@@ -8,31 +8,31 @@
  */
 final class Acknowledgements {
 
-  private long asked;
-  private long askedMillis;
-  private long late;
+  private long sentNumber;
+  private long sentMillis;
+  private long lateNumber;
   private long lateUntilMillis;
-  private Optional<WorkerIncarnation> acknowledgedLife = Optional.empty();
+  private Optional<WorkerIncarnation> acknowledgedIncarnation = Optional.empty();
   private long inFlightUntilMillis;
   private long inheritedUntilMillis;
 
   /** Takes in that a life may be named ends as soon as this is stored. */
-  void acknowledging(WorkerIncarnation life, long nowMillis) {
-    if (life.identifierReusable()) {
-      acknowledgedLife = Optional.of(life);
+  void acknowledging(WorkerIncarnation incarnation, long nowMillis) {
+    if (incarnation.identifierReusable()) {
+      acknowledgedIncarnation = Optional.of(incarnation);
       inFlightUntilMillis = nowMillis + LateStart.LATEST_MILLIS;
     }
   }
 
   /** Takes in that an earlier leader may have named ends to a life, and when this one began. */
-  void inherit(WorkerIncarnation life, long startMillis) {
-    acknowledging(life, startMillis);
+  void inherit(WorkerIncarnation incarnation, long startMillis) {
+    acknowledging(incarnation, startMillis);
     inheritedUntilMillis = inFlightUntilMillis;
   }
 
   /** Returns the life that the next leader has to know: others may get what was meant for it. */
-  Optional<WorkerIncarnation> acknowledgedLife() {
-    return acknowledgedLife;
+  Optional<WorkerIncarnation> acknowledgedIncarnation() {
+    return acknowledgedIncarnation;
   }
 
   /** Returns whether a look that names ends may still be in flight. */
@@ -41,9 +41,9 @@
   }
 
   /** Takes in that a look leaves which names ends up to a number; 0 for none. */
-  void sent(long number, long nowMillis) {
-    asked = number;
-    askedMillis = nowMillis;
+  void pollSent(long number, long nowMillis) {
+    sentNumber = number;
+    sentMillis = nowMillis;
     if (number > 0) {
       inFlightUntilMillis = nowMillis + LateStart.LATEST_MILLIS;
     }
@@ -51,30 +51,31 @@
 
   /** Takes in that the life which the last look was for has answered it. */
   void answered() {
-    asked = 0;
+    sentNumber = 0;
   }
 
   /** Takes in that the last look got no answer, or one of another life. */
   void unanswered() {
-    if (asked > 0) {
-      late = Math.max(late, asked);
-      lateUntilMillis = askedMillis + LateStart.LATEST_MILLIS;
-      asked = 0;
+    if (sentNumber > 0) {
+      lateNumber = Math.max(lateNumber, sentNumber);
+      lateUntilMillis = sentMillis + LateStart.LATEST_MILLIS;
+      sentNumber = 0;
     }
   }
 
   /**
    * Takes in that a life has answered for the first time: what it may hide is known from now on.
    *
-   * @param bornMillis when that life began at the earliest, on our steady clock
+   * @param earliestStartMillis when that life began at the earliest, on our steady clock
    * @return the highest number that a late look may have named to it before
    */
-  long mayHaveReached(WorkerIncarnation life, long bornMillis) {
-    boolean inherited = acknowledgedLife.filter(other -> !other.equals(life)).isPresent();
-    acknowledgedLife = acknowledgedLife.map(other -> life);
-    if (inherited && inheritedUntilMillis > bornMillis) {
+  long mayHaveReached(WorkerIncarnation incarnation, long earliestStartMillis) {
+    boolean inherited =
+        acknowledgedIncarnation.filter(other -> !other.equals(incarnation)).isPresent();
+    acknowledgedIncarnation = acknowledgedIncarnation.map(other -> incarnation);
+    if (inherited && inheritedUntilMillis > earliestStartMillis) {
       return SuppressedCompletions.ANY;
     }
-    return lateUntilMillis > bornMillis ? late : 0;
+    return lateUntilMillis > earliestStartMillis ? lateNumber : 0;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/DeferredAcknowledgements.java
+++ b/core/src/main/java/org/cottontack/core/job/DeferredAcknowledgements.java
@@ -21,11 +21,11 @@
   private long inheritedUntilMillis;
 
   /** Takes in that an end is to be held for so long. */
-  void hold(long number, long nowMillis, long millis) {
-    expiresMillis.merge(number, nowMillis + millis, DeferredAcknowledgements::known);
+  void defer(long number, long nowMillis, long millis) {
+    expiresMillis.merge(number, nowMillis + millis, DeferredAcknowledgements::laterKnown);
   }
 
-  private static long known(long before, long next) {
+  private static long laterKnown(long before, long next) {
     return before >= UNKNOWN_MILLIS ? next : Math.max(before, next);
   }
 
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -190,7 +190,7 @@
         .toList()
         .forEach(task -> orders.retry(worker, task));
     worker.placed.values().stream()
-        .filter(Task::unwanted)
+        .filter(Task::obsolete)
         .toList()
         .forEach(task -> orders.stop(worker, task.key()));
   }
--- a/core/src/main/java/org/cottontack/core/job/IgnoredStarts.java
+++ b/core/src/main/java/org/cottontack/core/job/IgnoredStarts.java
@@ -13,7 +13,7 @@
    * Undisturbed time after which an absent lasting task counts as missed, in milliseconds; the
    * platform's rules state it.
    */
-  private static final long CALM_MILLIS = 7_000;
+  private static final long UNDISTURBED_MILLIS = 7_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -34,7 +34,7 @@
    * Returns whether a lasting task may be absent until a time. Its absence counts only after an
    * undisturbed span, which begins when the latest ignored start has expired.
    */
-  boolean excuses(long untilMillis) {
-    return untilMillis <= latestMillis + LateStart.LATEST_MILLIS + CALM_MILLIS;
+  boolean toleratesAbsence(long untilMillis) {
+    return untilMillis <= latestMillis + LateStart.LATEST_MILLIS + UNDISTURBED_MILLIS;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
+++ b/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
@@ -37,7 +37,7 @@
   Set<WorkerIncarnation> acknowledged(Predicate<WorkerId> known, long nowMillis) {
     return acknowledgements.entrySet().stream()
         .filter(entry -> known.test(entry.getKey()) || entry.getValue().inFlight(nowMillis))
-        .flatMap(entry -> entry.getValue().acknowledgedLife().stream())
+        .flatMap(entry -> entry.getValue().acknowledgedIncarnation().stream())
         .collect(Collectors.toSet());
   }
 
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -116,7 +116,7 @@
     Task task = term.find(run.task());
     return task != null
         && task.runsAs(worker, run.run())
-        && !task.unwanted()
+        && !task.obsolete()
         && term.worker(worker).filter(Worker::closed).isEmpty();
   }
 
--- a/core/src/main/java/org/cottontack/core/job/LateLeases.java
+++ b/core/src/main/java/org/cottontack/core/job/LateLeases.java
@@ -13,31 +13,31 @@
   /** When each start without a certain answer was sent last. */
   private final Map<RunKey, Long> startsMillis = new HashMap<>();
 
-  private boolean asked;
-  private long askedMillis;
+  private boolean offeredLease;
+  private long pollSentMillis;
   private long lateUntilMillis = Long.MIN_VALUE;
 
   /** Takes in that a look leaves. */
-  void asked(boolean brings, long nowMillis) {
-    asked = brings;
-    askedMillis = nowMillis;
+  void pollSent(boolean offersLease, long nowMillis) {
+    offeredLease = offersLease;
+    pollSentMillis = nowMillis;
   }
 
   /** Takes in that the life which the last look was for has answered it. */
   void answered() {
-    asked = false;
+    offeredLease = false;
   }
 
   /** Takes in that the last look got no answer, or one of another life. */
   void unanswered() {
-    if (asked) {
-      sentInVain(askedMillis);
+    if (offeredLease) {
+      recordUnanswered(pollSentMillis);
     }
-    asked = false;
+    offeredLease = false;
   }
 
   /** Takes in that a start leaves. */
-  void started(RunKey run, long nowMillis) {
+  void startSent(RunKey run, long nowMillis) {
     startsMillis.values().removeIf(sent -> nowMillis - sent > LateStart.LATEST_MILLIS);
     startsMillis.put(run, nowMillis);
   }
@@ -46,22 +46,22 @@
   void startAnswered(RunKey run, boolean certain) {
     Long sent = startsMillis.remove(run);
     if (sent != null && !certain) {
-      sentInVain(sent);
+      recordUnanswered(sent);
     }
   }
 
-  private void sentInVain(long sentMillis) {
+  private void recordUnanswered(long sentMillis) {
     lateUntilMillis = Math.max(lateUntilMillis, sentMillis + LateStart.LATEST_MILLIS);
   }
 
   /**
    * Returns whether one may have reached a life before its leader asked it.
    *
-   * @param bornMillis when that life began at the earliest, on our steady clock
+   * @param earliestStartMillis when that life began at the earliest, on our steady clock
    */
-  boolean mayHaveReached(long bornMillis) {
-    startsMillis.values().forEach(this::sentInVain);
+  boolean mayHaveReached(long earliestStartMillis) {
+    startsMillis.values().forEach(this::recordUnanswered);
     startsMillis.clear();
-    return lateUntilMillis > bornMillis;
+    return lateUntilMillis > earliestStartMillis;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LateStart.java
+++ b/core/src/main/java/org/cottontack/core/job/LateStart.java
@@ -6,13 +6,13 @@
  * identifiers. Until it expires its task runs nowhere else: only lives of that worker which refuse
  * it, or list what it began, are left.
  *
- * @param refusing the first life of its worker that refuses it, once it has answered this leader;
- *     later ones do so as well
- * @param bindsMillis until when its task is kept from other workers whatever is known, on our
+ * @param firstRefusing the first life of its worker that refuses it, once it has answered this
+ *     leader; later ones do so as well
+ * @param minPinEndMillis until when its task is kept from other workers whatever is known, on our
  *     steady clock
  * @param expiresMillis when it can no longer be carried out, on our steady clock
  */
-record LateStart(WorkerIncarnation refusing, long bindsMillis, long expiresMillis) {
+record LateStart(WorkerIncarnation firstRefusing, long minPinEndMillis, long expiresMillis) {
 
   /**
    * Longest time until a worker carries out an order that it left unanswered, in milliseconds; the
@@ -24,34 +24,34 @@
    * Longest time until a life that can be reached has answered a question and lists what a start
    * began, in milliseconds: one question without an answer, and the pause before the next.
    */
-  private static final long HEARD_MILLIS = 1_500;
+  private static final long MAX_LISTING_DELAY_MILLIS = 1_500;
 
   /** Returns a start that this leader has sent; the life that it was for may still take it. */
   static LateStart sent(WorkerIncarnation to, StepSpec spec, long sentMillis) {
     // A lasting task is back when leases of that time have ended, as after any loss of its worker.
-    long binds = spec.is(StepSpec.Trait.LASTS) ? LeaderLease.GRANT_MILLIS : LATEST_MILLIS;
+    long pinMillis = spec.is(StepSpec.Trait.LASTS) ? LeaderLease.GRANT_MILLIS : LATEST_MILLIS;
     WorkerIncarnation next = new WorkerIncarnation(to.worker(), to.startTimeMillis() + 1);
-    return new LateStart(next, sentMillis + binds, sentMillis + LATEST_MILLIS);
+    return new LateStart(next, sentMillis + pinMillis, sentMillis + LATEST_MILLIS);
   }
 
   /**
    * Returns a start that an earlier leader may have sent, whose fencing token is out of date.
    *
    * @param startMillis when this leader's term began
-   * @param lapseMillis when the leases that earlier leaders gave have ended
+   * @param leaseEndMillis when the leases that earlier leaders gave have ended
    */
   static LateStart inherited(
-      WorkerIncarnation to, StepSpec spec, long startMillis, long lapseMillis) {
+      WorkerIncarnation to, StepSpec spec, long startMillis, long leaseEndMillis) {
     long expires = startMillis + LATEST_MILLIS;
-    return new LateStart(to, spec.is(StepSpec.Trait.LASTS) ? lapseMillis : expires, expires);
+    return new LateStart(to, spec.is(StepSpec.Trait.LASTS) ? leaseEndMillis : expires, expires);
   }
 
   /** Returns what bars as much as both; a task is bound to one worker, so both name the same. */
-  LateStart and(LateStart other) {
-    boolean later = refusing.startTimeMillis() >= other.refusing.startTimeMillis();
+  LateStart merge(LateStart other) {
+    boolean later = firstRefusing.startTimeMillis() >= other.firstRefusing.startTimeMillis();
     return new LateStart(
-        later ? refusing : other.refusing,
-        Math.max(bindsMillis, other.bindsMillis),
+        later ? firstRefusing : other.firstRefusing,
+        Math.max(minPinEndMillis, other.minPinEndMillis),
         Math.max(expiresMillis, other.expiresMillis));
   }
 
@@ -61,10 +61,10 @@
    *
    * @param ignored the starts that are known to be ignored
    */
-  long boundUntilMillis(IgnoredStarts ignored) {
-    boolean lasts = bindsMillis < expiresMillis;
-    long heardMillis = expiresMillis + HEARD_MILLIS;
-    return lasts && ignored.excuses(heardMillis) ? heardMillis : bindsMillis;
+  long pinEndMillis(IgnoredStarts ignored) {
+    boolean longRunning = minPinEndMillis < expiresMillis;
+    long listedMillis = expiresMillis + MAX_LISTING_DELAY_MILLIS;
+    return longRunning && ignored.toleratesAbsence(listedMillis) ? listedMillis : minPinEndMillis;
   }
 
   boolean expired(long nowMillis) {
@@ -72,13 +72,13 @@
   }
 
   /** Returns whether a life that has answered this leader refuses it. */
-  boolean refusedBy(WorkerIncarnation life) {
-    return life.worker().equals(refusing.worker())
-        && life.startTimeMillis() >= refusing.startTimeMillis();
+  boolean refusedBy(WorkerIncarnation incarnation) {
+    return incarnation.worker().equals(firstRefusing.worker())
+        && incarnation.startTimeMillis() >= firstRefusing.startTimeMillis();
   }
 
   /** Returns the same start where a life refuses it already. */
-  LateStart refusedFrom(WorkerIncarnation life) {
-    return new LateStart(life, bindsMillis, expiresMillis);
+  LateStart refusedFrom(WorkerIncarnation incarnation) {
+    return new LateStart(incarnation, minPinEndMillis, expiresMillis);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/LeaderLease.java
+++ b/core/src/main/java/org/cottontack/core/job/LeaderLease.java
@@ -35,7 +35,7 @@
   private long watchedMillis;
   private long observedMillis = Long.MIN_VALUE;
   private long changedMillis;
-  private long row = Long.MIN_VALUE;
+  private long lastVersion = Long.MIN_VALUE;
   private Moment renewal = NEVER;
 
   /**
@@ -45,14 +45,14 @@
    * @param version the row's version
    */
   public void observed(long nowMillis, long version) {
-    if (version != row) {
+    if (version != lastVersion) {
       watchedMillis = 0;
       changedMillis = nowMillis;
     } else if (observedMillis != Long.MIN_VALUE) {
       // A process that slept, or had no store, saw nothing in between: the holder may have renewed.
       watchedMillis += Math.min(nowMillis - observedMillis, LONGEST_GAP_MILLIS);
     }
-    row = version;
+    lastVersion = version;
     observedMillis = nowMillis;
   }
 
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -63,7 +63,7 @@
   private void inherit(Task task) {
     if (task.worker.identifierReusable()) {
       long lapse = term.inheritedLeaseEndMillis;
-      task.expectLate(
+      task.addLateStart(
           LateStart.inherited(task.worker, task.spec, term.startMillis, lapse), term.now.mono());
     }
     if (task.phase == Task.Phase.PLACED) {
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -25,7 +25,7 @@
     term.jobs.values().stream()
         .flatMap(Job::tasks)
         .filter(task -> task.pinnedTo(worker.info.id()))
-        .forEach(Task::expectNoneLate);
+        .forEach(Task::clearLateStarts);
     term.workers.remove(worker.info.id());
   }
 
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -50,9 +50,9 @@
   }
 
   private void order(Worker worker, Task task) {
-    task.shortLease |= worker.suppressedCompletions.stops(task.spec) && !worker.renewsLeases();
+    task.shortLease |= worker.suppressedCompletions.appliesTo(task.spec) && !worker.renewsLeases();
     task.sent(term.now.mono());
-    worker.lateLeases.started(task.key(), term.now.mono());
+    worker.lateLeases.startSent(task.key(), term.now.mono());
     term.effects.add(
         new JobEffect.StartRun(
             worker.target(),
@@ -72,7 +72,7 @@
   private long startEnd(Worker worker, Task task) {
     if (task.shortLease) {
       return Math.min(
-          term.now.mono() + SuppressedCompletions.TOO_SHORT_MILLIS, term.startDeadlineMillis);
+          term.now.mono() + SuppressedCompletions.SHORT_LEASE_MILLIS, term.startDeadlineMillis);
     }
     long lease = startLeaseEnd(worker);
     boolean held = worker.heldLeaseMillis() - term.now.mono() > LEAST_START_LEASE_MILLIS;
@@ -95,8 +95,8 @@
    * @param how what showed it
    */
   void noteCancelled(Worker worker, Task task, String how) {
-    if (task.job.phase == JobPhase.CANCELLED && !task.cancelNoted) {
-      task.cancelNoted = true;
+    if (task.job.phase == JobPhase.CANCELLED && !task.cancelLogged) {
+      task.cancelLogged = true;
       long sent = task.sentMillis() == 0 ? 0 : term.now.mono() - task.sentMillis();
       term.logEvent(
           "run.cancelled", task.key(), worker.info.id() + " " + how + " sentMillis=" + sent);
@@ -141,7 +141,7 @@
     }
     term.recordIgnoredStart(task);
     task.began |= event.result() == StartResult.STARTED;
-    if (task.began && worker.suppressedCompletions.stops(task.spec)) {
+    if (task.began && worker.suppressedCompletions.appliesTo(task.spec)) {
       stop(worker, task.key());
     }
     switch (event.result()) {
@@ -171,10 +171,10 @@
    * this is stored before.
    */
   void retry(Worker worker, Task task) {
-    if (task.unwanted() || worker.shrunk() || worker.closed()) {
+    if (task.obsolete() || worker.shrunk() || worker.closed()) {
       withdraw(task);
     } else if (!worker.silent && !task.duplicateStartPossible && task.pinned(term.now.mono())) {
-      task.copy();
+      task.prepareResend();
       term.dirty.add(task.job);
     } else if (!worker.silent) {
       order(worker, task);
@@ -219,7 +219,7 @@
       return;
     }
     if (task != null && task.runsAs(event.worker(), event.run().run())) {
-      task.barred();
+      task.recordRefusal();
     }
     // A stop that is answered again says nothing new. Counted as news each time, it would put off
     // for ever that a run which its worker no longer lists is missing.
@@ -265,8 +265,8 @@
     boolean leaseFirst = alone && needed && longer && leftMillis < LEAST_LEFT_LEASE_MILLIS;
     long leaseEnd = alone && !leaseFirst ? noLease(worker) : leaseEnd(worker);
     long acknowledged = acknowledges && !leaseFirst ? worker.lastAcknowledgedCompletion : 0;
-    worker.acknowledgements.sent(acknowledged, term.now.mono());
-    worker.lateLeases.asked(leaseEnd > 0, term.now.mono());
+    worker.acknowledgements.pollSent(acknowledged, term.now.mono());
+    worker.lateLeases.pollSent(leaseEnd > 0, term.now.mono());
     term.effects.add(
         new JobEffect.LookAtWorker(
             worker.target(), leaseEnd, acknowledged, alone ? 0 : waitMillis));
--- a/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
@@ -15,23 +15,23 @@
  */
 final class ProgressSaver {
 
-  private static final long NOT_HELD = Long.MAX_VALUE;
+  private static final long NOT_DEFERRED = Long.MAX_VALUE;
 
   private final Term term;
   private final Orders orders;
   private final LearnedText learned;
-  private final Map<WorkerIncarnation, Long> savingEnds = new LinkedHashMap<>();
+  private final Map<WorkerIncarnation, Long> savingCompletions = new LinkedHashMap<>();
   private final List<RunKey> savingStarts = new ArrayList<>();
   private boolean saving;
   private long learnedMillis;
-  private Set<WorkerIncarnation> savedHiding = Set.of();
-  private Map<WorkerIncarnation, Long> savedHeld = Map.of();
+  private Set<WorkerIncarnation> savedSuppressing = Set.of();
+  private Map<WorkerIncarnation, Long> savedDeferred = Map.of();
 
   /** Lives to which ends were acknowledged that the last text was to have, and those it has. */
-  private Set<WorkerIncarnation> toStore = Set.of();
+  private Set<WorkerIncarnation> incarnationsToStore = Set.of();
 
-  private Set<WorkerIncarnation> stored = Set.of();
-  private final Set<String> cutNoted = new HashSet<>();
+  private Set<WorkerIncarnation> storedIncarnations = Set.of();
+  private final Set<String> cutLogged = new HashSet<>();
 
   ProgressSaver(Term term, Orders orders, LearnedText learned) {
     this.term = term;
@@ -60,30 +60,32 @@
                   worker.lastAcknowledgeableCompletion(now) > worker.lastAcknowledgedCompletion)
           .forEach(
               worker ->
-                  savingEnds.put(worker.incarnation(), worker.lastAcknowledgeableCompletion(now)));
+                  savingCompletions.put(
+                      worker.incarnation(), worker.lastAcknowledgeableCompletion(now)));
     }
-    savingEnds.keySet().forEach(term::acknowledging);
+    savingCompletions.keySet().forEach(term::acknowledging);
     // One for which there was no place is tried again only when a text is due.
-    Set<WorkerIncarnation> written = learnedDue() ? stored : toStore;
+    Set<WorkerIncarnation> written = learnedDue() ? storedIncarnations : incarnationsToStore;
     term.incarnationsUnsaved |=
-        savingEnds.keySet().stream()
-            .anyMatch(life -> life.identifierReusable() && !written.contains(life));
+        savingCompletions.keySet().stream()
+            .anyMatch(
+                incarnation -> incarnation.identifierReusable() && !written.contains(incarnation));
     if (!rows.isEmpty() || term.incarnationsUnsaved) {
       saving = true;
       term.effects.add(new JobEffect.SaveProgress(rows, learnedIfDue()));
-    } else if (!savingEnds.isEmpty()) {
+    } else if (!savingCompletions.isEmpty()) {
       saved();
     }
   }
 
   void restoreLearned(String text) {
-    Set<WorkerIncarnation> hiding = new LinkedHashSet<>();
+    Set<WorkerIncarnation> suppressing = new LinkedHashSet<>();
     Set<WorkerIncarnation> acknowledged = new HashSet<>();
-    Map<WorkerIncarnation, Long> held = new HashMap<>();
-    final long skipped = learned.restore(text, hiding, acknowledged, held);
-    term.unlistedDeferrals.inherit(held, term.startMillis + LateStart.LATEST_MILLIS);
-    savedHeld = held;
-    term.unlistedSuppressions.inherit(hiding, term.now.mono());
+    Map<WorkerIncarnation, Long> deferred = new HashMap<>();
+    final long skipped = learned.restore(text, suppressing, acknowledged, deferred);
+    term.unlistedDeferrals.inherit(deferred, term.startMillis + LateStart.LATEST_MILLIS);
+    savedDeferred = deferred;
+    term.unlistedSuppressions.inherit(suppressing, term.now.mono());
     acknowledged.forEach(term::inheritAcknowledged);
     if (skipped > 0) {
       term.logEvent("learned.skipped", "lines", Long.toString(skipped));
@@ -91,30 +93,31 @@
   }
 
   private String learnedIfDue() {
-    Set<WorkerIncarnation> hiding = term.hiding();
-    Map<WorkerIncarnation, Long> held = term.firstHeld();
+    Set<WorkerIncarnation> suppressing = term.hiding();
+    Map<WorkerIncarnation, Long> deferred = term.firstHeld();
     if (!learnedDue()
-        && hiding.equals(savedHiding)
-        && heldIsSaved(held)
+        && suppressing.equals(savedSuppressing)
+        && deferralsSaved(deferred)
         && !term.incarnationsUnsaved) {
       return "";
     }
     learnedMillis = term.now.mono();
-    savedHiding = hiding;
-    savedHeld = held;
+    savedSuppressing = suppressing;
+    savedDeferred = deferred;
     term.incarnationsUnsaved = false;
-    toStore = term.acknowledgedLives();
-    LearnedText.Written written = learned.write(hiding, toStore, held);
-    stored = LearnedText.acknowledged(written.text());
-    noteCut("lives", written.livesCut());
-    noteCut("learned", written.learnedCut());
+    incarnationsToStore = term.acknowledgedLives();
+    LearnedText.Written written = learned.write(suppressing, incarnationsToStore, deferred);
+    storedIncarnations = LearnedText.acknowledged(written.text());
+    logCut("lives", written.livesCut());
+    logCut("learned", written.learnedCut());
     return written.text();
   }
 
   /** Returns whether the next leader would hold all that is held: it does so from a number on. */
-  private boolean heldIsSaved(Map<WorkerIncarnation, Long> held) {
-    return held.entrySet().stream()
-        .allMatch(entry -> savedHeld.getOrDefault(entry.getKey(), NOT_HELD) <= entry.getValue());
+  private boolean deferralsSaved(Map<WorkerIncarnation, Long> deferred) {
+    return deferred.entrySet().stream()
+        .allMatch(
+            entry -> savedDeferred.getOrDefault(entry.getKey(), NOT_DEFERRED) <= entry.getValue());
   }
 
   private boolean learnedDue() {
@@ -122,10 +125,10 @@
   }
 
   /** Says once that lines of a kind are left out, until all are kept again. */
-  private void noteCut(String kind, int lines) {
+  private void logCut(String kind, int lines) {
     if (lines == 0) {
-      cutNoted.remove(kind);
-    } else if (cutNoted.add(kind)) {
+      cutLogged.remove(kind);
+    } else if (cutLogged.add(kind)) {
       term.logEvent("learned.cut", kind, "lines=" + lines);
     }
   }
@@ -133,13 +136,14 @@
   void saved() {
     saving = false;
     List<RunKey> starts = List.copyOf(savingStarts);
-    final Map<WorkerIncarnation, Long> ends = new LinkedHashMap<>(savingEnds);
+    final Map<WorkerIncarnation, Long> completions = new LinkedHashMap<>(savingCompletions);
     savingStarts.clear();
-    savingEnds.clear();
+    savingCompletions.clear();
     starts.forEach(this::startIfPlaced);
-    ends.keySet().removeIf(life -> !mayAcknowledge(life));
-    ends.forEach(
-        (life, number) -> term.worker(life).ifPresent(worker -> acknowledge(worker, number)));
+    completions.keySet().removeIf(incarnation -> !mayAcknowledge(incarnation));
+    completions.forEach(
+        (incarnation, number) ->
+            term.worker(incarnation).ifPresent(worker -> acknowledge(worker, number)));
     term.jobs
         .values()
         .removeIf(job -> job.phase.terminal() && !term.dirty.contains(job) && !job.onWorkers());
@@ -157,8 +161,8 @@
   }
 
   /** Returns whether the next leader would know that a life was named ends. */
-  private boolean mayAcknowledge(WorkerIncarnation life) {
-    return !life.identifierReusable() || stored.contains(life);
+  private boolean mayAcknowledge(WorkerIncarnation incarnation) {
+    return !incarnation.identifierReusable() || storedIncarnations.contains(incarnation);
   }
 
   private void acknowledge(Worker worker, long number) {
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -57,7 +57,7 @@
     /** A task that waits for a start on its way to expire names the worker that it was sent to. */
     private static Optional<WorkerIncarnation> worker(Task task) {
       return Optional.ofNullable(task.worker)
-          .or(() -> task.phase == Task.Phase.WAITING ? task.refusing() : Optional.empty());
+          .or(() -> task.phase == Task.Phase.WAITING ? task.firstRefusing() : Optional.empty());
     }
 
     /** The crashes and the beginning of the worker's life are left out where there are none. */
--- a/core/src/main/java/org/cottontack/core/job/SuppressedCompletions.java
+++ b/core/src/main/java/org/cottontack/core/job/SuppressedCompletions.java
@@ -18,12 +18,12 @@
   static final long ANY = Long.MAX_VALUE;
 
   /** Longest time from its start for which a run is not done, in milliseconds. */
-  static final long TOO_SHORT_MILLIS = 200;
+  static final long SHORT_LEASE_MILLIS = 200;
 
   /** Least expected duration of a run that is to end before it is done, in milliseconds. */
-  private static final long LEAST_EXPECTED_MILLIS = 2 * TOO_SHORT_MILLIS;
+  private static final long MIN_ESTIMATE_MILLIS = 2 * SHORT_LEASE_MILLIS;
 
-  private long hidden;
+  private long suppressed;
   private long leasedUntilMillis;
 
   /**
@@ -32,15 +32,15 @@
    * @param leaseEndMillis when, on our clock, all leases that others may have given have ended
    */
   static SuppressedCompletions any(long leaseEndMillis) {
-    SuppressedCompletions ends = new SuppressedCompletions();
-    ends.upTo(ANY);
-    ends.leasedUntil(leaseEndMillis);
-    return ends;
+    SuppressedCompletions completions = new SuppressedCompletions();
+    completions.suppressUpTo(ANY);
+    completions.leasedUntil(leaseEndMillis);
+    return completions;
   }
 
   /** Takes in that ends up to a number may not be listed. */
-  void upTo(long number) {
-    hidden = Math.max(hidden, number);
+  void suppressUpTo(long number) {
+    suppressed = Math.max(suppressed, number);
   }
 
   /** Takes in that a lease may be in force there up to a time on our clock. */
@@ -50,12 +50,12 @@
 
   /** Returns whether every run that ends from now on will be listed. */
   boolean none() {
-    return hidden == 0;
+    return suppressed == 0;
   }
 
   /** Takes in that an end was listed: later ones have higher numbers. */
   void listed() {
-    hidden = 0;
+    suppressed = 0;
   }
 
   /**
@@ -70,16 +70,16 @@
     if (none()) {
       return true;
     }
-    if (!matters(spec)) {
+    if (!mustNotRepeat(spec)) {
       return !probed;
     }
     boolean leased = !open || nowMillis < leasedUntilMillis;
-    return !leased && spec.estimateMillis() >= LEAST_EXPECTED_MILLIS;
+    return !leased && spec.estimateMillis() >= MIN_ESTIMATE_MILLIS;
   }
 
   /** Returns whether a run there is to end before it can be done. */
-  boolean stops(StepSpec spec) {
-    return !none() && matters(spec);
+  boolean appliesTo(StepSpec spec) {
+    return !none() && mustNotRepeat(spec);
   }
 
   /**
@@ -88,16 +88,16 @@
    *
    * @return whether it may have been done
    */
-  boolean vanished(Task task) {
-    if (!stops(task.spec)) {
+  boolean recordMissingRun(Task task) {
+    if (!appliesTo(task.spec)) {
       return false;
     }
-    hidden -= task.shortLease && task.began && hidden != ANY ? 1 : 0;
+    suppressed -= task.shortLease && task.began && suppressed != ANY ? 1 : 0;
     return !task.shortLease;
   }
 
   /** Returns whether a run that was done may not begin again. */
-  static boolean matters(StepSpec spec) {
+  static boolean mustNotRepeat(StepSpec spec) {
     return !spec.is(StepSpec.Trait.LASTS) && !spec.is(StepSpec.Trait.SPECULATIVE);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Task.java
+++ b/core/src/main/java/org/cottontack/core/job/Task.java
@@ -112,7 +112,7 @@
   boolean duplicateStartPossible;
 
   /** Whether it was said that the present run is on a worker though its job is cancelled. */
-  boolean cancelNoted;
+  boolean cancelLogged;
 
   private boolean sentByUs;
   private long sentMillis;
@@ -145,8 +145,8 @@
   private double slowedMillis;
 
   private double slowedBeforeMillis;
-  private double toldLoad;
-  private long toldMillis;
+  private double processedLoad;
+  private long processedMillis;
   private long savedMillis;
   private double slowedWhenSavedMillis;
 
@@ -165,7 +165,7 @@
   }
 
   /** Returns whether the present run is the first one and was never slowed. */
-  boolean wholeAtFullPace() {
+  boolean firstRunAtFullPace() {
     return phase == Phase.PLACED && run == 1 && pacedMillis == placedMillis && pace == FULL_PACE;
   }
 
@@ -184,7 +184,7 @@
     order = Order.SENT;
     sentByUs = true;
     sentMillis = nowMillis;
-    pendingStart.ifPresent(other -> expectLate(other.start(), nowMillis));
+    pendingStart.ifPresent(other -> addLateStart(other.start(), nowMillis));
     lateStart = lateStart.filter(start -> !start.expired(nowMillis));
     pendingStart =
         Optional.of(worker)
@@ -201,14 +201,14 @@
   void unanswered() {
     startInDoubt = true;
     unansweredMillis = sentMillis;
-    pendingStart.ifPresent(sent -> expectLate(sent.start(), sentMillis));
+    pendingStart.ifPresent(sent -> addLateStart(sent.start(), sentMillis));
     pendingStart = Optional.empty();
   }
 
   /** Takes in that its worker, asked at a time, does not list the present run. */
-  void notListed(long askedMillis) {
+  void notListed(long polledMillis) {
     if (order != Order.CONFIRMED) {
-      absentMillis = Math.max(absentMillis, askedMillis);
+      absentMillis = Math.max(absentMillis, polledMillis);
     }
   }
 
@@ -231,34 +231,34 @@
   void startEnded(WorkerIncarnation on, int number, boolean certain) {
     Optional<PendingStart> sent =
         pendingStart.filter(other -> other.run() == number && other.to().equals(on));
-    sent.filter(other -> !certain).ifPresent(other -> expectLate(other.start(), sentMillis));
+    sent.filter(other -> !certain).ifPresent(other -> addLateStart(other.start(), sentMillis));
     pendingStart = sent.isPresent() ? Optional.empty() : pendingStart;
   }
 
   /** Returns what bars as much as all starts that may be on their way. */
-  private Optional<LateStart> onItsWay() {
+  private Optional<LateStart> inFlightStart() {
     Optional<LateStart> start = pendingStart.map(PendingStart::start);
-    return lateStart.map(other -> start.map(other::and).orElse(other)).or(() -> start);
+    return lateStart.map(other -> start.map(other::merge).orElse(other)).or(() -> start);
   }
 
   /** Takes in that a start of it may still be on its way. */
-  void expectLate(LateStart start, long nowMillis) {
+  void addLateStart(LateStart start, long nowMillis) {
     lateStart =
         lateStart
             .filter(other -> !other.expired(nowMillis))
-            .map(start::and)
+            .map(start::merge)
             .or(() -> Optional.of(start));
   }
 
   /** Takes in that the present run has begun: what an earlier leader sent has arrived. */
-  void found() {
+  void recordRunFound() {
     if (!sentByUs && !duplicateStartPossible) {
       lateStart = Optional.empty();
     }
   }
 
   /** Takes in that its worker's present life has seen the present run end, or a stop of it. */
-  void barred() {
+  void recordRefusal() {
     lateStart = lateStart.map(start -> start.refusedFrom(worker));
     pendingStart =
         pendingStart.map(
@@ -266,14 +266,14 @@
   }
 
   /** Takes in that no start on its way can reach any life of its worker. */
-  void expectNoneLate() {
+  void clearLateStarts() {
     lateStart = Optional.empty();
     pendingStart = Optional.empty();
   }
 
   /** Returns the first life that refuses a start which may still be on its way. */
-  Optional<WorkerIncarnation> refusing() {
-    return onItsWay().map(LateStart::refusing);
+  Optional<WorkerIncarnation> firstRefusing() {
+    return inFlightStart().map(LateStart::firstRefusing);
   }
 
   /** Returns whether a start on its way keeps it from all workers but one. */
@@ -283,31 +283,31 @@
 
   /** Returns for how long a start on its way keeps it from all workers but one, if it does. */
   OptionalLong pinnedForMillis(long nowMillis) {
-    return onItsWay().stream()
-        .mapToLong(start -> start.boundUntilMillis(job.ignoredStarts) - nowMillis)
+    return inFlightStart().stream()
+        .mapToLong(start -> start.pinEndMillis(job.ignoredStarts) - nowMillis)
         .filter(millis -> millis > 0)
         .findFirst();
   }
 
   /** Returns whether a start which may still be on its way was sent to this worker. */
   boolean pinnedTo(WorkerId id) {
-    return onItsWay().filter(start -> start.refusing().worker().equals(id)).isPresent();
+    return inFlightStart().filter(start -> start.firstRefusing().worker().equals(id)).isPresent();
   }
 
   /** Returns whether no start on its way could run beside a run on this life. */
-  boolean mayStartOn(WorkerIncarnation life, long nowMillis) {
+  boolean mayStartOn(WorkerIncarnation incarnation, long nowMillis) {
     // On the only worker left it would use up its attempts, or be blamed for that one's crashes.
-    boolean eligible = !failedOn.contains(life) && !CrashBlame.suspect(this);
-    return !pinned(nowMillis) || (eligible && onItsWay().orElseThrow().refusedBy(life));
+    boolean eligible = !failedOn.contains(incarnation) && !CrashBlame.suspect(this);
+    return !pinned(nowMillis) || (eligible && inFlightStart().orElseThrow().refusedBy(incarnation));
   }
 
   /** Takes in that an earlier run was done: the present one is to end, however it does. */
-  void doneBefore(EarlierCompletion end) {
-    earlierCompletions.add(end);
+  void addEarlierCompletion(EarlierCompletion completion) {
+    earlierCompletions.add(completion);
   }
 
   /** Returns whether nobody wants the present run any more. */
-  boolean unwanted() {
+  boolean obsolete() {
     return job.phase.terminal() || !earlierCompletions.isEmpty();
   }
 
@@ -318,7 +318,7 @@
   }
 
   /** Takes in that its start is to be sent again as soon as that is stored. */
-  void copy() {
+  void prepareResend() {
     duplicateStartPossible = true;
     order = Order.UNSAVED;
   }
@@ -327,14 +327,14 @@
     duplicateStartPossible = pinned(nowMillis);
     if (!duplicateStartPossible) {
       // A start that was waited for no longer would be merged with the next, for another worker.
-      expectNoneLate();
+      clearLateStarts();
     }
     phase = Phase.PLACED;
     run++;
     worker = on;
     order = Order.UNSAVED;
     startInDoubt = false;
-    cancelNoted = false;
+    cancelLogged = false;
     sentByUs = false;
     absentMillis = nowMillis;
     began = false;
@@ -363,7 +363,7 @@
     began = false;
     shortLease = false;
     listedMillis = 0;
-    cancelNoted = false;
+    cancelLogged = false;
   }
 
   /** Takes in that the run was ordered to another pace. */
@@ -389,11 +389,11 @@
    * learned anew each time, rough reports counted for more than they tell.
    */
   boolean hasNewLoad(long nowMillis) {
-    if (load == toldLoad && nowMillis - toldMillis < REPORT_MILLIS) {
+    if (load == processedLoad && nowMillis - processedMillis < REPORT_MILLIS) {
       return false;
     }
-    toldLoad = load;
-    toldMillis = nowMillis;
+    processedLoad = load;
+    processedMillis = nowMillis;
     return true;
   }
 
@@ -420,10 +420,10 @@
    * @return ends that may be final now
    */
   List<EarlierCompletion> release() {
-    List<EarlierCompletion> ends = List.copyOf(earlierCompletions);
+    List<EarlierCompletion> completions = List.copyOf(earlierCompletions);
     earlierCompletions.clear();
-    phase = ends.isEmpty() ? Phase.WAITING : Phase.DONE;
+    phase = completions.isEmpty() ? Phase.WAITING : Phase.DONE;
     worker = null;
-    return ends;
+    return completions;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -196,7 +196,7 @@
     worker(end.on())
         .map(on -> on.deferredAcknowledgements)
         .or(() -> unlistedDeferrals.of(end.on()))
-        .ifPresent(held -> held.hold(end.number(), now.mono(), millis));
+        .ifPresent(held -> held.defer(end.number(), now.mono(), millis));
     jobsToRecheck.add(task.job);
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/UnlistedDeferrals.java
+++ b/core/src/main/java/org/cottontack/core/job/UnlistedDeferrals.java
@@ -11,36 +11,37 @@
  */
 final class UnlistedDeferrals {
 
-  private final Map<WorkerIncarnation, DeferredAcknowledgements> ends = new HashMap<>();
+  private final Map<WorkerIncarnation, DeferredAcknowledgements> deferrals = new HashMap<>();
 
   /** Takes in the lowest number that an earlier leader held on each life. */
   void inherit(Map<WorkerIncarnation, Long> first, long untilMillis) {
     first.forEach(
-        (life, number) ->
-            ends.computeIfAbsent(life, key -> new DeferredAcknowledgements())
+        (incarnation, number) ->
+            deferrals
+                .computeIfAbsent(incarnation, key -> new DeferredAcknowledgements())
                 .inherit(number, untilMillis));
   }
 
   /** Takes in what is held on a life whose worker is dropped. */
-  void add(WorkerIncarnation life, DeferredAcknowledgements held) {
-    ends.put(life, held);
+  void add(WorkerIncarnation incarnation, DeferredAcknowledgements deferred) {
+    deferrals.put(incarnation, deferred);
   }
 
   /** Returns what is held on a life that is not among the workers, if anything is. */
-  Optional<DeferredAcknowledgements> of(WorkerIncarnation life) {
-    return Optional.ofNullable(ends.get(life));
+  Optional<DeferredAcknowledgements> of(WorkerIncarnation incarnation) {
+    return Optional.ofNullable(deferrals.get(incarnation));
   }
 
   /** Returns what is held on a life that answers, and leaves it to its worker. */
-  DeferredAcknowledgements take(WorkerIncarnation life) {
-    DeferredAcknowledgements held = ends.remove(life);
-    return held == null ? new DeferredAcknowledgements() : held;
+  DeferredAcknowledgements remove(WorkerIncarnation incarnation) {
+    DeferredAcknowledgements deferred = deferrals.remove(incarnation);
+    return deferred == null ? new DeferredAcknowledgements() : deferred;
   }
 
   /** Returns the lowest number that is held on each life. */
   Map<WorkerIncarnation, Long> first(long nowMillis) {
-    ends.values().removeIf(held -> held.first(nowMillis).isEmpty());
-    return ends.entrySet().stream()
+    deferrals.values().removeIf(deferred -> deferred.first(nowMillis).isEmpty());
+    return deferrals.entrySet().stream()
         .collect(
             Collectors.toMap(
                 Map.Entry::getKey, entry -> entry.getValue().first(nowMillis).orElseThrow()));
--- a/core/src/main/java/org/cottontack/core/job/UnlistedSuppressions.java
+++ b/core/src/main/java/org/cottontack/core/job/UnlistedSuppressions.java
@@ -23,34 +23,35 @@
   /**
    * What is known of a life.
    *
-   * @param ends which ends it may never list; nothing where only the leader before knew
+   * @param suppressed which ends it may never list; nothing where only the leader before knew
    * @param seenMillis when it was last known to be there or stored
    */
-  private record Away(Optional<SuppressedCompletions> ends, long seenMillis) {
+  private record Unlisted(Optional<SuppressedCompletions> suppressed, long seenMillis) {
 
-    Away seen(long nowMillis) {
-      return new Away(ends, nowMillis);
+    Unlisted seen(long nowMillis) {
+      return new Unlisted(suppressed, nowMillis);
     }
   }
 
   /** Those away for longest come first. */
-  private final Map<WorkerIncarnation, Away> away = new LinkedHashMap<>();
+  private final Map<WorkerIncarnation, Unlisted> unlisted = new LinkedHashMap<>();
 
   /** Takes in that the worker of such a life is not listed. */
-  void add(WorkerIncarnation life, SuppressedCompletions ends, long nowMillis) {
-    add(life, new Away(Optional.of(ends), nowMillis));
+  void add(WorkerIncarnation incarnation, SuppressedCompletions suppressed, long nowMillis) {
+    add(incarnation, new Unlisted(Optional.of(suppressed), nowMillis));
   }
 
-  private void add(WorkerIncarnation life, Away known) {
-    away.remove(life);
-    away.put(life, known);
+  private void add(WorkerIncarnation incarnation, Unlisted known) {
+    unlisted.remove(incarnation);
+    unlisted.put(incarnation, known);
   }
 
   /** Takes in what an earlier leader knew, the latest first. */
   void inherit(Collection<WorkerIncarnation> latestFirst, long nowMillis) {
     Deque<WorkerIncarnation> earliestFirst = new ArrayDeque<>();
     latestFirst.forEach(earliestFirst::addFirst);
-    earliestFirst.forEach(life -> add(life, new Away(Optional.empty(), nowMillis)));
+    earliestFirst.forEach(
+        incarnation -> add(incarnation, new Unlisted(Optional.empty(), nowMillis)));
   }
 
   /**
@@ -58,14 +59,15 @@
    *
    * @param leaseEndMillis when, on our clock, leases that others may have given it have ended
    */
-  Optional<SuppressedCompletions> of(WorkerIncarnation life, long leaseEndMillis) {
-    return Optional.ofNullable(away.get(life))
-        .map(known -> known.ends().orElseGet(() -> SuppressedCompletions.any(leaseEndMillis)));
+  Optional<SuppressedCompletions> of(WorkerIncarnation incarnation, long leaseEndMillis) {
+    return Optional.ofNullable(unlisted.get(incarnation))
+        .map(
+            known -> known.suppressed().orElseGet(() -> SuppressedCompletions.any(leaseEndMillis)));
   }
 
   /** Takes in that it is known from a worker itself what its life hides. */
   void remove(WorkerId worker) {
-    away.keySet().removeIf(life -> life.worker().equals(worker));
+    unlisted.keySet().removeIf(incarnation -> incarnation.worker().equals(worker));
   }
 
   /**
@@ -74,14 +76,15 @@
    * @param known whether a worker is there
    */
   void expire(Predicate<WorkerId> known, long nowMillis) {
-    away.replaceAll((life, last) -> known.test(life.worker()) ? last.seen(nowMillis) : last);
-    away.values().removeIf(last -> nowMillis - last.seenMillis() > LONGEST_ABSENCE_MILLIS);
+    unlisted.replaceAll(
+        (incarnation, last) -> known.test(incarnation.worker()) ? last.seen(nowMillis) : last);
+    unlisted.values().removeIf(last -> nowMillis - last.seenMillis() > LONGEST_ABSENCE_MILLIS);
   }
 
   /** Returns all of them, the latest first. */
   Collection<WorkerIncarnation> latestFirst() {
     Deque<WorkerIncarnation> latest = new ArrayDeque<>();
-    away.keySet().forEach(latest::addFirst);
+    unlisted.keySet().forEach(latest::addFirst);
     return latest;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -164,7 +164,7 @@
       return true;
     }
     boolean probed =
-        placed.values().stream().anyMatch(task -> SuppressedCompletions.matters(task.spec));
+        placed.values().stream().anyMatch(task -> SuppressedCompletions.mustNotRepeat(task.spec));
     boolean leased = !orphans.isEmpty() || nowMillis < clock.lastLeaseEndMillis();
     // A service never ends. It would keep all other work away for as long as it runs here.
     boolean beside = renewsLeases() && !probed;
@@ -175,7 +175,8 @@
   /** Returns whether what runs here is to go on when its leases end. */
   boolean renewsLeases() {
     return suppressedCompletions.none()
-        || placed.values().stream().anyMatch(task -> !SuppressedCompletions.matters(task.spec));
+        || placed.values().stream()
+            .anyMatch(task -> !SuppressedCompletions.mustNotRepeat(task.spec));
   }
 
   /**
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -90,7 +90,7 @@
         .ifPresent(ends -> worker.suppressedCompletions = ends);
     long born = WorkerClock.earliestBirth(event.report().clockMillis(), event.sentMillis());
     long hidden = worker.acknowledgements.mayHaveReached(worker.incarnation(), born);
-    worker.suppressedCompletions.upTo(hidden);
+    worker.suppressedCompletions.suppressUpTo(hidden);
     // What earlier leaders sent, this one does not know.
     boolean inherited = born < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
     if (worker.lateLeases.mayHaveReached(born)
@@ -107,7 +107,7 @@
 
   /** Takes in which ends of a life that answers for the first time an earlier leader held. */
   private void holdEnds(Worker worker, WorkerReport report) {
-    DeferredAcknowledgements held = term.unlistedDeferrals.take(worker.incarnation());
+    DeferredAcknowledgements held = term.unlistedDeferrals.remove(worker.incarnation());
     if (!report.completions().isEmpty()) {
       worker.deferredAcknowledgements = held;
     }
@@ -126,7 +126,7 @@
         runs.stream().filter(task -> !task.worker.equals(worker.incarnation())).toList();
     if (!ended.isEmpty()) {
       lostWorkers.restarted(worker, ended, false, sentMillis);
-      worker.suppressedCompletions.upTo(SuppressedCompletions.ANY);
+      worker.suppressedCompletions.suppressUpTo(SuppressedCompletions.ANY);
       worker.suppressedCompletions.leasedUntil(term.now.mono() + Fleet.LONGEST_LEASE_MILLIS);
     }
   }
@@ -183,7 +183,7 @@
     orders.confirm(task);
     orders.noteCancelled(worker, task, "listed");
     task.began = true;
-    task.found();
+    task.recordRunFound();
     task.listedMillis = term.now.mono();
     if (task.crashes > 0 && CrashBlame.cleared(task)) {
       task.forgetCrashes();
@@ -197,7 +197,7 @@
     }
     task.progress = running.progress();
     task.load = running.load();
-    if (task.unwanted() || worker.suppressedCompletions.stops(task.spec)) {
+    if (task.obsolete() || worker.suppressedCompletions.appliesTo(task.spec)) {
       orders.stop(worker, key);
     }
     return key;
@@ -221,7 +221,7 @@
       doneBefore(worker, task, ended);
       return;
     }
-    if (ended.status() == WorkerReport.CompletionStatus.DONE && task.wholeAtFullPace()) {
+    if (ended.status() == WorkerReport.CompletionStatus.DONE && task.firstRunAtFullPace()) {
       estimates.learn(task.job.spec.queue(), task.spec, term.now.mono() - task.placedMillis);
     }
     noteEnd(worker, task, ended);
@@ -229,12 +229,12 @@
       worker.residualLoads.add(
           new Worker.ResidualLoad(task.spec.image(), task.load, term.now.mono()));
     }
-    task.found();
+    task.recordRunFound();
     if (ended.status() == WorkerReport.CompletionStatus.DONE) {
       hold(worker, task, ended);
     }
     if (inForce) {
-      task.barred();
+      task.recordRefusal();
     }
     term.release(task);
     if (ended.status() == WorkerReport.CompletionStatus.DONE) {
@@ -277,8 +277,8 @@
     }
     noteEnd(worker, task, ended);
     task.forgetCrashes();
-    task.doneBefore(new Task.EarlierCompletion(worker.incarnation(), ended.number()));
-    worker.deferredAcknowledgements.hold(
+    task.addEarlierCompletion(new Task.EarlierCompletion(worker.incarnation(), ended.number()));
+    worker.deferredAcknowledgements.defer(
         ended.number(), term.now.mono(), DeferredAcknowledgements.UNKNOWN_MILLIS);
     orders.withdraw(task);
   }
@@ -288,7 +288,7 @@
     task.pinnedForMillis(now)
         .ifPresent(
             millis -> {
-              worker.deferredAcknowledgements.hold(ended.number(), now, millis);
+              worker.deferredAcknowledgements.defer(ended.number(), now, millis);
               term.logEvent("end.held", new RunKey(ended.task(), ended.run()), "millis=" + millis);
             });
   }
@@ -322,7 +322,7 @@
         .toList()
         .forEach(
             task -> {
-              boolean maybeDone = worker.suppressedCompletions.vanished(task);
+              boolean maybeDone = worker.suppressedCompletions.recordMissingRun(task);
               String detail = worker.info.id() + " " + worker.answers();
               term.logEvent("run.missing", task.key(), detail + (maybeDone ? " maybeDone" : ""));
               term.release(task);
--- a/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
@@ -117,7 +117,7 @@
       UnlistedDeferrals lives = new UnlistedDeferrals();
       WorkerIncarnation life = new WorkerIncarnation(FIRST, 7);
       lives.inherit(Map.of(life, 3L), LateStart.LATEST_MILLIS);
-      DeferredAcknowledgements held = lives.take(life);
+      DeferredAcknowledgements held = lives.remove(life);
       held.listed(1);
       held.listed(2);
       assertEquals(held.acknowledgeable(2, 0), 2);
--- a/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
@@ -25,10 +25,10 @@
     @Test
     public void endsWithCalmSpan() {
       IgnoredStarts ignored = new IgnoredStarts();
-      assertFalse(ignored.excuses(SENT_MILLIS));
+      assertFalse(ignored.toleratesAbsence(SENT_MILLIS));
       ignored.add(SENT_MILLIS);
-      assertTrue(ignored.excuses(CALM_SINCE_MILLIS));
-      assertFalse(ignored.excuses(CALM_SINCE_MILLIS + 1));
+      assertTrue(ignored.toleratesAbsence(CALM_SINCE_MILLIS));
+      assertFalse(ignored.toleratesAbsence(CALM_SINCE_MILLIS + 1));
     }
 
     /** Guards against news of an early start that hides a later one. */
@@ -37,7 +37,7 @@
       IgnoredStarts ignored = new IgnoredStarts();
       assertTrue(ignored.add(SENT_MILLIS));
       assertFalse(ignored.add(SENT_MILLIS - 1_000));
-      assertTrue(ignored.excuses(CALM_SINCE_MILLIS));
+      assertTrue(ignored.toleratesAbsence(CALM_SINCE_MILLIS));
     }
   }
 
@@ -104,9 +104,9 @@
       IgnoredStarts ignored = new IgnoredStarts();
       WorkerIncarnation life = new WorkerIncarnation(new WorkerId("w0"), 7);
       LateStart start = LateStart.sent(life, step(1, 2, List.of()), SENT_MILLIS);
-      assertEquals(start.boundUntilMillis(ignored), SENT_MILLIS + LateStart.LATEST_MILLIS);
+      assertEquals(start.pinEndMillis(ignored), SENT_MILLIS + LateStart.LATEST_MILLIS);
       ignored.add(SENT_MILLIS);
-      assertEquals(start.boundUntilMillis(ignored), SENT_MILLIS + LateStart.LATEST_MILLIS);
+      assertEquals(start.pinEndMillis(ignored), SENT_MILLIS + LateStart.LATEST_MILLIS);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/LateLeasesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateLeasesTest.java
@@ -14,13 +14,13 @@
 
   private static LateLeases started() {
     LateLeases leases = new LateLeases();
-    leases.started(RUN, SENT);
+    leases.startSent(RUN, SENT);
     return leases;
   }
 
   private static LateLeases asked(boolean brings) {
     LateLeases leases = new LateLeases();
-    leases.asked(brings, SENT);
+    leases.pollSent(brings, SENT);
     return leases;
   }
 
@@ -77,7 +77,7 @@
     public void keepsFirstCopyWhereSecondIsAnswered() {
       LateLeases leases = started();
       leases.startAnswered(RUN, false);
-      leases.started(RUN, SENT + 1);
+      leases.startSent(RUN, SENT + 1);
       leases.startAnswered(RUN, true);
       assertTrue(leases.mayHaveReached(LAST - 1));
     }
--- a/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ProgressTextTest.java
@@ -89,7 +89,7 @@
       Task task = job.tasks().findFirst().orElseThrow();
       task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
       task.crashes = crashes;
-      task.copy();
+      task.prepareResend();
       Job next = job();
       ProgressText.restore(next, ProgressText.write(job));
       Task restored = next.tasks().findFirst().orElseThrow();
@@ -105,7 +105,7 @@
       Task task = job.tasks().findFirst().orElseThrow();
       task.place(new WorkerIncarnation(new WorkerId("w"), 5), 0);
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w  5");
-      task.copy();
+      task.prepareResend();
       assertEquals(ProgressText.write(job), "q\n0 0 0 p 1 0 w  +5");
     }
 
--- a/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsTest.java
@@ -39,7 +39,7 @@
 
   private static SuppressedCompletions upTo(long number) {
     SuppressedCompletions ends = new SuppressedCompletions();
-    ends.upTo(number);
+    ends.suppressUpTo(number);
     return ends;
   }
 
@@ -51,7 +51,7 @@
     public void admitsAllWhereNothingIsHidden() {
       SuppressedCompletions ends = upTo(0);
       assertTrue(ends.admits(TASK, true, false, NOW));
-      assertFalse(ends.stops(TASK));
+      assertFalse(ends.appliesTo(TASK));
     }
 
     /** Guards against two runs at a time whose ends matter. */
@@ -60,7 +60,7 @@
       SuppressedCompletions ends = upTo(3);
       assertTrue(ends.admits(TASK, false, true, NOW));
       assertFalse(ends.admits(TASK, true, false, NOW));
-      assertTrue(ends.stops(TASK));
+      assertTrue(ends.appliesTo(TASK));
     }
 
     /** Guards against a run that goes on by the lease of a service or of an earlier look. */
@@ -93,7 +93,7 @@
       SuppressedCompletions ends = SuppressedCompletions.any(NOW + 1);
       assertTrue(ends.admits(LASTING, false, false, NOW));
       assertTrue(ends.admits(COPIED, false, false, NOW));
-      assertFalse(ends.stops(LASTING) || ends.stops(COPIED));
+      assertFalse(ends.appliesTo(LASTING) || ends.appliesTo(COPIED));
     }
   }
 
@@ -114,7 +114,7 @@
       SuppressedCompletions ends = upTo(2);
       for (int i = 0; i < 2; i++) {
         assertFalse(ends.none());
-        assertFalse(ends.vanished(brief()));
+        assertFalse(ends.recordMissingRun(brief()));
       }
       assertTrue(ends.none());
     }
@@ -123,7 +123,7 @@
     @Test
     public void countsNoRunThatMayHaveBeenDone() {
       SuppressedCompletions ends = upTo(1);
-      assertTrue(ends.vanished(begun()));
+      assertTrue(ends.recordMissingRun(begun()));
       assertFalse(ends.none());
     }
 
@@ -132,12 +132,12 @@
     public void countsEachRunOnce() {
       SuppressedCompletions ends = upTo(2);
       Task task = brief();
-      assertFalse(ends.vanished(task));
+      assertFalse(ends.recordMissingRun(task));
       begin(task);
-      assertTrue(ends.vanished(task));
+      assertTrue(ends.recordMissingRun(task));
       task.shortLease = true;
       task.mayRunOn(WorkerIncarnation.withUniqueIdentifier(new WorkerId("w")), NOW);
-      assertTrue(ends.vanished(task));
+      assertTrue(ends.recordMissingRun(task));
     }
 
     /** Guards against numbers that are used up by runs that never began. */
@@ -146,7 +146,7 @@
       SuppressedCompletions ends = upTo(1);
       Task task = brief();
       task.began = false;
-      assertFalse(ends.vanished(task));
+      assertFalse(ends.recordMissingRun(task));
       assertFalse(ends.none());
     }
 
@@ -154,8 +154,8 @@
     @Test
     public void keepsHighestNumber() {
       SuppressedCompletions ends = upTo(2);
-      ends.upTo(1);
-      assertFalse(ends.vanished(brief()));
+      ends.suppressUpTo(1);
+      assertFalse(ends.recordMissingRun(brief()));
       assertFalse(ends.none());
     }
   }
