--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -6,17 +6,20 @@
 import java.util.stream.Stream;
 import org.cottontack.core.id.DataCentreId;
 
-/** Which workers there are, and what is done about those that leave or do not answer. */
+/** Keeps track of the workers and handles those that leave or do not answer. */
 final class Fleet {
 
   /**
-   * Longest lease that a worker grants whatever an order says, in milliseconds: 10 s on a clock
-   * that is 2 % slow.
+   * Longest lease that a worker accepts regardless of what an order asks for, in milliseconds: 10 s
+   * on a clock that is 2 % slow.
    */
   static final long LONGEST_LEASE_MILLIS = 10_300;
 
-  /** Time between looks at a worker that lists held ends: it waits for no further one. */
-  private static final long HELD_LOOK_MILLIS = 100;
+  /**
+   * Time between polls of a worker with deferred acknowledgements, in milliseconds. The worker
+   * answers such a poll at once, without waiting for a further completion.
+   */
+  private static final long DEFERRED_ACKNOWLEDGEMENT_POLL_MILLIS = 100;
 
   private final Term term;
   private final Orders orders;
@@ -32,20 +35,24 @@
 
   void seen(WorkerInfo info) {
     Worker present = term.workers.get(info.id());
-    if (present != null && present.outlived(info.incarnation())) {
-      // Births may be wrong where clocks were set back: an answer shows which life leads.
+    if (present != null && present.supersedes(info.incarnation())) {
+      // Start times may be wrong where clocks were set back. An answer shows which incarnation is
+      // the current one.
       present.staleEntry = Optional.of(info);
       orders.poll(present, 0);
       return;
     }
-    livesAt(info).filter(other -> !other.registered).toList().forEach(lostWorkers::reborn);
-    Worker worker = leading(info);
+    othersAtAddress(info)
+        .filter(other -> !other.registered)
+        .toList()
+        .forEach(lostWorkers::replaced);
+    Worker worker = workerFor(info);
     if (!worker.registered) {
       String detail = "address=%s draining=%s %s";
       term.logEvent(
           "worker.listed",
           info.id(),
-          detail.formatted(info.address(), info.draining(), worker.answers()));
+          detail.formatted(info.address(), info.draining(), worker.answerDetails()));
     }
     worker.info = info;
     worker.staleEntry = Optional.empty();
@@ -57,7 +64,7 @@
     }
   }
 
-  /** Takes in which data centres the operator empties. */
+  /** Handles a change of the data centres that the operator evacuates. */
   void evacuated(Set<DataCentreId> dataCentres) {
     long now = term.now.mono();
     Set<DataCentreId> before = term.evacuations.all();
@@ -67,7 +74,7 @@
         .forEach(
             dataCentre -> {
               term.evacuations.begin(dataCentre, now);
-              noteEvacuation("evacuation.seen", dataCentre, "");
+              logEvacuation("evacuation.seen", dataCentre, "");
             });
     before.stream()
         .filter(dataCentre -> !dataCentres.contains(dataCentre))
@@ -75,41 +82,45 @@
         .forEach(
             dataCentre -> {
               long millis = term.evacuations.end(dataCentre, now);
-              noteEvacuation("evacuation.ended", dataCentre, " afterMillis=" + millis);
+              logEvacuation("evacuation.ended", dataCentre, " afterMillis=" + millis);
             });
     term.capacityChanged = true;
   }
 
-  /** Says what still runs in the data centres that are being emptied. */
-  void noteEvacuations() {
+  /** Logs what still runs in the data centres that are being evacuated. */
+  void logEvacuations() {
     term.evacuations.all().stream()
         .sorted()
-        .forEach(dataCentre -> noteEvacuation("evacuation.left", dataCentre, ""));
+        .forEach(dataCentre -> logEvacuation("evacuation.left", dataCentre, ""));
   }
 
-  private void noteEvacuation(String event, DataCentreId dataCentre, String more) {
+  private void logEvacuation(String event, DataCentreId dataCentre, String more) {
     term.logEvent(
         event, dataCentre, Evacuations.remaining(term.workers.values(), dataCentre) + more);
   }
 
-  /** Returns the worker that leads the life which an entry speaks of. */
-  private Worker leading(WorkerInfo info) {
+  /**
+   * Returns the worker for the incarnation that a registry entry describes, after adding or
+   * replacing the worker if necessary.
+   */
+  private Worker workerFor(WorkerInfo info) {
     Worker known = term.workers.get(info.id());
     if (known == null) {
       return term.add(info, term.inheritedLeaseEndMillis);
     }
-    // Of one that is not listed nothing is known but its identifier and what was placed there.
+    // Of an unlisted worker, only the identifier and the runs placed on it are known.
     boolean same = !known.info.reachable() || known.incarnation().equals(info.incarnation());
     return same ? known : restarted(known, info);
   }
 
   /**
-   * Replaces a worker by its next life. What ran there has ended, but an order on its way may still
-   * reach the next life, so what was or may have been started waits for that one's first answer.
+   * Replaces a worker by its next incarnation. The runs of the old one have ended, but an order in
+   * flight may still reach the next one. Runs that were or may have been started are therefore kept
+   * until the first answer of the next incarnation.
    */
   private Worker restarted(Worker before, WorkerInfo info) {
-    long lapse = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
-    Worker next = term.add(info, lapse);
+    long leaseEnd = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
+    Worker next = term.add(info, leaseEnd);
     List<Task> runs = List.copyOf(before.placed.values());
     runs.forEach(next::add);
     lostWorkers.restarted(next, runs, LostWorkers.left(before), term.now.mono());
@@ -117,34 +128,36 @@
   }
 
   /**
-   * Takes in that another life of a worker has answered. Answers may overtake each other: one of an
-   * earlier life, asked before the present one was last heard, says nothing.
+   * Handles an answer from another incarnation of a worker. Answers may arrive out of order: an
+   * answer of an earlier incarnation to a poll sent before the current one last answered counts as
+   * no answer.
    */
-  void answered(Worker asked, long bornMillis, long sentMillis) {
-    WorkerIncarnation life = new WorkerIncarnation(asked.info.id(), bornMillis);
-    boolean later = bornMillis > asked.incarnation().startTimeMillis();
-    if (later || (asked.everAnswered && sentMillis >= asked.lastAnswerMillis)) {
-      Optional<WorkerInfo> entry = asked.staleEntry.filter(info -> info.incarnation().equals(life));
-      orders.poll(restarted(asked, asked.info.with(life)), 0);
+  void otherIncarnationAnswered(Worker worker, long startTimeMillis, long sentMillis) {
+    WorkerIncarnation incarnation = new WorkerIncarnation(worker.info.id(), startTimeMillis);
+    boolean later = startTimeMillis > worker.incarnation().startTimeMillis();
+    if (later || (worker.everAnswered && sentMillis >= worker.lastAnswerMillis)) {
+      Optional<WorkerInfo> entry =
+          worker.staleEntry.filter(info -> info.incarnation().equals(incarnation));
+      orders.poll(restarted(worker, worker.info.withIncarnation(incarnation)), 0);
       entry.ifPresent(this::seen);
     } else {
-      silent(asked);
+      silent(worker);
     }
   }
 
   void unlisted(Worker worker) {
     worker.registered = false;
     worker.staleEntry = Optional.empty();
-    if (livesAt(worker.info).anyMatch(other -> other.registered)) {
-      lostWorkers.reborn(worker);
+    if (othersAtAddress(worker.info).anyMatch(other -> other.registered)) {
+      lostWorkers.replaced(worker);
     }
   }
 
   /**
-   * Returns other workers at a worker's address. When one of them is registered, those that no
-   * longer are have ended, with all that ran there: their leases need not be waited out.
+   * Returns the other workers at a worker's address. Once one of them is registered, those that no
+   * longer are have ended together with all their runs, so their leases need not be waited out.
    */
-  private Stream<Worker> livesAt(WorkerInfo info) {
+  private Stream<Worker> othersAtAddress(WorkerInfo info) {
     return term.workers.values().stream()
         .filter(other -> other.info.reachable())
         .filter(other -> other.info.address().equals(info.address()))
@@ -162,41 +175,44 @@
   }
 
   void tick(Worker worker) {
-    boolean outOfTouch = worker.silent || !worker.everAnswered;
-    noteWait(worker);
-    if (outOfTouch && term.now.mono() > worker.leasesEndedMillis()) {
-      lostWorkers.lapsed(worker);
+    boolean unreachable = worker.silent || !worker.everAnswered;
+    logLeaseWait(worker);
+    if (unreachable && term.now.mono() > worker.leasesEndedMillis()) {
+      lostWorkers.leasesExpired(worker);
     }
     if (!worker.registered && worker.placed.isEmpty() && worker.orphans.isEmpty()) {
       term.forget(worker);
       return;
     }
-    // A stop of a run that nobody wants goes out again only after a look that shows the run. Were
-    // the worker idle then, a cancelled job's run would outlive a lost stop by seconds.
+    // A stop of a run that is no longer needed is resent only after a poll that lists the run. If
+    // the worker counted as idle meanwhile, a run of a cancelled job would survive a lost stop by
+    // seconds.
     boolean empty = worker.placed.isEmpty() && worker.orphans.isEmpty();
-    boolean idle = empty && !worker.listsCompletions && !outOfTouch;
+    boolean idle = empty && !worker.listsCompletions && !unreachable;
     long gap = idle ? term.timing.idlePollMillis() : term.timing.pollRetryMillis();
-    if (!outOfTouch && worker.deferredAcknowledgements.any(term.now.mono())) {
-      gap = HELD_LOOK_MILLIS;
+    if (!unreachable && worker.deferredAcknowledgements.any(term.now.mono())) {
+      gap = DEFERRED_ACKNOWLEDGEMENT_POLL_MILLIS;
     }
     if (!worker.pollInFlight && term.now.mono() - worker.lastPollMillis >= gap) {
       orders.poll(worker, 0);
     }
-    if (worker.info.draining() && !outOfTouch) {
-      moveLasting(worker);
+    if (worker.info.draining() && !unreachable) {
+      moveLongRunningTask(worker);
     }
     worker.placed.values().stream()
         .filter(task -> task.order == Task.Order.RESEND)
         .toList()
         .forEach(task -> orders.retry(worker, task));
     worker.placed.values().stream()
-        .filter(Task::unwanted)
+        .filter(Task::obsolete)
         .toList()
         .forEach(task -> orders.stop(worker, task.key()));
   }
 
-  /** Says once how long the tasks of a worker out of touch have to wait for its leases to end. */
-  private void noteWait(Worker worker) {
+  /**
+   * Logs once how long the tasks of an unreachable worker have to wait for its leases to expire.
+   */
+  private void logLeaseWait(Worker worker) {
     if (worker.awaitsLeaseEnd() && !worker.leaseWaitLogged) {
       String detail =
           "runs=%d registered=%s leasesEndInMillis=%d"
@@ -210,12 +226,13 @@
   }
 
   /**
-   * Moves a task that lasts off a worker that is about to leave. Were the leader to change just
-   * after it left, the next one would wait out the leases of a worker that it never reached, and
-   * the task would be away for 9 s. One at a time, and only when none waits already: a task that
-   * finds no room elsewhere is better off where it is.
+   * Moves a long-running task off a worker that is about to leave. If the leader changed right
+   * after the worker left, the next leader would wait out the leases of a worker that it never
+   * reached, and the task would be absent for 9 s. Tasks move one at a time, and only while no
+   * other long-running task is waiting: a task for which there is no capacity elsewhere had better
+   * stay where it is.
    */
-  private void moveLasting(Worker worker) {
+  private void moveLongRunningTask(Worker worker) {
     boolean oneWaits =
         term.jobsToPlace.stream().anyMatch(job -> job.spec.isLongRunning() && job.begun);
     List<RunKey> stopping =
@@ -228,7 +245,7 @@
         .filter(task -> task.spec.is(StepSpec.Trait.LASTS))
         .filter(task -> task.order == Task.Order.CONFIRMED && !task.job.phase.terminal())
         .filter(task -> !task.pinned(term.now.mono()))
-        .filter(task -> roomFor(task).isPresent())
+        .filter(task -> findWorkerFor(task).isPresent())
         .findFirst()
         .ifPresent(
             task -> {
@@ -237,7 +254,7 @@
             });
   }
 
-  private Optional<Worker> roomFor(Task task) {
+  private Optional<Worker> findWorkerFor(Task task) {
     JobQueue queue = term.table.current(task.job.spec.queue());
     return workerSelector.choose(task, queue, term.workers.values(), term.now.mono());
   }
--- a/core/src/main/java/org/cottontack/core/job/JobScheduler.java
+++ b/core/src/main/java/org/cottontack/core/job/JobScheduler.java
@@ -118,7 +118,7 @@
     Task task = term.find(run.task());
     return task != null
         && task.runsAs(worker, run.run())
-        && !task.unwanted()
+        && !task.obsolete()
         && term.worker(worker).filter(Worker::closed).isEmpty();
   }
 
@@ -163,7 +163,7 @@
     } else if (event instanceof JobEvent.WorkerFenced e) {
       term.worker(e.worker()).ifPresent(orders::fenced);
     } else if (event instanceof JobEvent.WorkerReborn e) {
-      term.worker(e.worker()).ifPresent(lostWorkers::reborn);
+      term.worker(e.worker()).ifPresent(lostWorkers::replaced);
     } else if (event instanceof JobEvent.TableChanged e) {
       term.table = e.table();
     } else if (event instanceof JobEvent.DataCentresEvacuated e) {
@@ -173,7 +173,7 @@
 
   private void started(JobEvent.StartEnded event) {
     if (orders.startEnded(event)) {
-      term.worker(event.worker()).ifPresent(lostWorkers::reborn);
+      term.worker(event.worker()).ifPresent(lostWorkers::replaced);
     }
   }
 
@@ -193,7 +193,7 @@
       loadLoggedMillis = term.now.mono();
       String load = LoadText.of(term.workers.values(), term.jobs.values(), term.now.mono());
       term.logEvent("leader.load", "workers", load);
-      fleet.noteEvacuations();
+      fleet.logEvacuations();
     }
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Lifecycle.java
+++ b/core/src/main/java/org/cottontack/core/job/Lifecycle.java
@@ -68,7 +68,7 @@
   private void inherit(Task task) {
     if (task.worker.identifierReusable()) {
       long leaseEndMillis = term.inheritedLeaseEndMillis;
-      task.expectLate(
+      task.addLateStart(
           LateStart.inherited(task.worker, task.spec, term.startMillis, leaseEndMillis),
           term.now.mono());
     }
--- a/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressSaver.java
@@ -10,28 +10,32 @@
 import java.util.Set;
 
 /**
- * Saves progress, one transaction at a time. Start orders leave after their placement is saved,
- * repeated ones after that copies may come, and ends are acknowledged after they are.
+ * Saves progress, one transaction at a time. A start order is sent after its placement is saved, a
+ * repeated one after the possible duplicate is saved, and completions are acknowledged after they
+ * are saved.
  */
 final class ProgressSaver {
 
-  private static final long NOT_HELD = Long.MAX_VALUE;
+  private static final long NOT_DEFERRED = Long.MAX_VALUE;
 
   private final Term term;
   private final Orders orders;
   private final LearnedText learned;
-  private final Map<WorkerIncarnation, Long> savingEnds = new LinkedHashMap<>();
+  private final Map<WorkerIncarnation, Long> savingCompletions = new LinkedHashMap<>();
   private final List<RunKey> savingStarts = new ArrayList<>();
   private boolean saving;
   private long learnedMillis;
-  private Set<WorkerIncarnation> savedHiding = Set.of();
-  private Map<WorkerIncarnation, Long> savedHeld = Map.of();
+  private Set<WorkerIncarnation> savedSuppressing = Set.of();
+  private Map<WorkerIncarnation, Long> savedDeferred = Map.of();
 
-  /** Lives to which ends were acknowledged that the last text was to have, and those it has. */
-  private Set<WorkerIncarnation> toStore = Set.of();
+  /**
+   * Incarnations with acknowledged completions that the last text was meant to include; {@link
+   * #storedIncarnations} has those that it does include.
+   */
+  private Set<WorkerIncarnation> incarnationsToStore = Set.of();
 
-  private Set<WorkerIncarnation> stored = Set.of();
-  private final Set<String> cutNoted = new HashSet<>();
+  private Set<WorkerIncarnation> storedIncarnations = Set.of();
+  private final Set<String> cutLogged = new HashSet<>();
 
   ProgressSaver(Term term, Orders orders, LearnedText learned) {
     this.term = term;
@@ -60,30 +64,32 @@
                   worker.lastAcknowledgeableCompletion(now) > worker.lastAcknowledgedCompletion)
           .forEach(
               worker ->
-                  savingEnds.put(worker.incarnation(), worker.lastAcknowledgeableCompletion(now)));
+                  savingCompletions.put(
+                      worker.incarnation(), worker.lastAcknowledgeableCompletion(now)));
     }
-    savingEnds.keySet().forEach(term::acknowledging);
-    // One for which there was no place is tried again only when a text is due.
-    Set<WorkerIncarnation> written = learnedDue() ? stored : toStore;
+    savingCompletions.keySet().forEach(term::acknowledging);
+    // An incarnation that did not fit into the text is tried again only when a text is due.
+    Set<WorkerIncarnation> written = learnedDue() ? storedIncarnations : incarnationsToStore;
     term.incarnationsUnsaved |=
-        savingEnds.keySet().stream()
-            .anyMatch(life -> life.identifierReusable() && !written.contains(life));
+        savingCompletions.keySet().stream()
+            .anyMatch(
+                incarnation -> incarnation.identifierReusable() && !written.contains(incarnation));
     if (!rows.isEmpty() || term.incarnationsUnsaved) {
       saving = true;
       term.effects.add(new JobEffect.SaveProgress(rows, learnedIfDue()));
-    } else if (!savingEnds.isEmpty()) {
+    } else if (!savingCompletions.isEmpty()) {
       saved();
     }
   }
 
   void restoreLearned(String text) {
-    Set<WorkerIncarnation> hiding = new LinkedHashSet<>();
+    Set<WorkerIncarnation> suppressing = new LinkedHashSet<>();
     Set<WorkerIncarnation> acknowledged = new HashSet<>();
-    Map<WorkerIncarnation, Long> held = new HashMap<>();
-    final long skipped = learned.restore(text, hiding, acknowledged, held);
-    term.unlistedDeferrals.inherit(held, term.startMillis + LateStart.LATEST_MILLIS);
-    savedHeld = held;
-    term.unlistedSuppressions.inherit(hiding, term.now.mono());
+    Map<WorkerIncarnation, Long> deferred = new HashMap<>();
+    final long skipped = learned.restore(text, suppressing, acknowledged, deferred);
+    term.unlistedDeferrals.inherit(deferred, term.startMillis + LateStart.LATEST_MILLIS);
+    savedDeferred = deferred;
+    term.unlistedSuppressions.inherit(suppressing, term.now.mono());
     acknowledged.forEach(term::inheritAcknowledged);
     if (skipped > 0) {
       term.logEvent("learned.skipped", "lines", Long.toString(skipped));
@@ -91,41 +97,45 @@
   }
 
   private String learnedIfDue() {
-    Set<WorkerIncarnation> hiding = term.incarnationsWithSuppressions();
-    Map<WorkerIncarnation, Long> held = term.firstDeferred();
+    Set<WorkerIncarnation> suppressing = term.incarnationsWithSuppressions();
+    Map<WorkerIncarnation, Long> deferred = term.firstDeferred();
     if (!learnedDue()
-        && hiding.equals(savedHiding)
-        && heldIsSaved(held)
+        && suppressing.equals(savedSuppressing)
+        && deferralsSaved(deferred)
         && !term.incarnationsUnsaved) {
       return "";
     }
     learnedMillis = term.now.mono();
-    savedHiding = hiding;
-    savedHeld = held;
+    savedSuppressing = suppressing;
+    savedDeferred = deferred;
     term.incarnationsUnsaved = false;
-    toStore = term.acknowledgedIncarnations();
-    LearnedText.Written written = learned.write(hiding, toStore, held);
-    stored = LearnedText.acknowledged(written.text());
-    noteCut("lives", written.incarnationsCut());
-    noteCut("learned", written.learnedCut());
+    incarnationsToStore = term.acknowledgedIncarnations();
+    LearnedText.Written written = learned.write(suppressing, incarnationsToStore, deferred);
+    storedIncarnations = LearnedText.acknowledged(written.text());
+    logCut("lives", written.incarnationsCut());
+    logCut("learned", written.learnedCut());
     return written.text();
   }
 
-  /** Returns whether the next leader would hold all that is held: it does so from a number on. */
-  private boolean heldIsSaved(Map<WorkerIncarnation, Long> held) {
-    return held.entrySet().stream()
-        .allMatch(entry -> savedHeld.getOrDefault(entry.getKey(), NOT_HELD) <= entry.getValue());
+  /**
+   * Returns whether the next leader would defer all that is deferred: it defers all numbers from
+   * the saved one on.
+   */
+  private boolean deferralsSaved(Map<WorkerIncarnation, Long> deferred) {
+    return deferred.entrySet().stream()
+        .allMatch(
+            entry -> savedDeferred.getOrDefault(entry.getKey(), NOT_DEFERRED) <= entry.getValue());
   }
 
   private boolean learnedDue() {
     return term.now.mono() - learnedMillis >= term.timing.learnedMillis();
   }
 
-  /** Says once that lines of a kind are left out, until all are kept again. */
-  private void noteCut(String kind, int lines) {
+  /** Logs once that lines of a kind are left out, until all of them fit again. */
+  private void logCut(String kind, int lines) {
     if (lines == 0) {
-      cutNoted.remove(kind);
-    } else if (cutNoted.add(kind)) {
+      cutLogged.remove(kind);
+    } else if (cutLogged.add(kind)) {
       term.logEvent("learned.cut", kind, "lines=" + lines);
     }
   }
@@ -133,19 +143,23 @@
   void saved() {
     saving = false;
     List<RunKey> starts = List.copyOf(savingStarts);
-    final Map<WorkerIncarnation, Long> ends = new LinkedHashMap<>(savingEnds);
+    final Map<WorkerIncarnation, Long> completions = new LinkedHashMap<>(savingCompletions);
     savingStarts.clear();
-    savingEnds.clear();
+    savingCompletions.clear();
     starts.forEach(this::startIfPlaced);
-    ends.keySet().removeIf(life -> !mayAcknowledge(life));
-    ends.forEach(
-        (life, number) -> term.worker(life).ifPresent(worker -> acknowledge(worker, number)));
+    completions.keySet().removeIf(incarnation -> !mayAcknowledge(incarnation));
+    completions.forEach(
+        (incarnation, number) ->
+            term.worker(incarnation).ifPresent(worker -> acknowledge(worker, number)));
     term.jobs
         .values()
         .removeIf(job -> job.phase.terminal() && !term.dirty.contains(job) && !job.onWorkers());
   }
 
-  /** A task that was placed anew meanwhile waits for the save of that placement. */
+  /**
+   * Starts a run if it is still placed. A task that was placed again in the meantime waits until
+   * that placement is saved.
+   */
   private void startIfPlaced(RunKey run) {
     Task task = term.find(run.task());
     if (task != null
@@ -156,9 +170,12 @@
     }
   }
 
-  /** Returns whether the next leader would know that a life was named ends. */
-  private boolean mayAcknowledge(WorkerIncarnation life) {
-    return !life.identifierReusable() || stored.contains(life);
+  /**
+   * Returns whether the next leader would know that completions were acknowledged to an
+   * incarnation.
+   */
+  private boolean mayAcknowledge(WorkerIncarnation incarnation) {
+    return !incarnation.identifierReusable() || storedIncarnations.contains(incarnation);
   }
 
   private void acknowledge(Worker worker, long number) {
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -66,7 +66,7 @@
      */
     private static Optional<WorkerIncarnation> worker(Task task) {
       return Optional.ofNullable(task.worker)
-          .or(() -> task.phase == Task.Phase.WAITING ? task.refusing() : Optional.empty());
+          .or(() -> task.phase == Task.Phase.WAITING ? task.firstRefusing() : Optional.empty());
     }
 
     /**
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -215,7 +215,7 @@
     worker(completion.on())
         .map(on -> on.deferredAcknowledgements)
         .or(() -> unlistedDeferrals.of(completion.on()))
-        .ifPresent(deferred -> deferred.hold(completion.number(), now.mono(), millis));
+        .ifPresent(deferred -> deferred.defer(completion.number(), now.mono(), millis));
     jobsToRecheck.add(task.job);
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashBlameTest.java
@@ -30,10 +30,10 @@
     return task;
   }
 
-  /** Who is blamed. */
+  /** Which task is blamed. */
   public static class Blaming {
 
-    /** Nobody knows more of one run than of the others after a first crash. */
+    /** After a first crash nothing distinguishes one run from the others. */
     @Test
     public void blamesNobodyForFirstCrash() {
       Task task = placed("a", 0);
@@ -59,16 +59,16 @@
       assertEquals(List.of(task.blamed, other.blamed), List.of(0, 0));
     }
 
-    /** A run that lives on a while beside one that has just begun is hardly the cause. */
+    /** A run that survives for a while is an unlikely cause if another has just begun beside it. */
     @Test
-    public void sparesTheListedBesideOneThatJustBegan() {
+    public void blamesNoListedRunBesideOneThatJustBegan() {
       Task task = listed(placed("a", 2), 300);
       Task other = placed("b", 1);
       CrashBlame.crashed(List.of(task, other));
       assertEquals(List.of(task.blamed, other.blamed), List.of(0, 0));
     }
 
-    /** An order that never left started nothing. */
+    /** An order that was never sent started nothing. */
     @Test
     public void ignoresWhatCannotHaveBegun() {
       Task task = placed("a", 2);
@@ -77,17 +77,17 @@
       assertEquals(List.of(task.crashes, task.blamed), List.of(2, 0));
     }
 
-    /** Lasting runs see many workers crash in a day. */
+    /** A long-running task sees many workers crash in a day. */
     @Test
-    public void ignoresLastingRunsThatWereAtWork() {
+    public void ignoresLongRunningTasksThatWereListed() {
       Task task = listed(placed("a", 2, StepSpec.Trait.LASTS), 1_500);
       CrashBlame.crashed(List.of(task));
       assertEquals(List.of(task.crashes, task.blamed), List.of(2, 0));
     }
   }
 
-  /** Who is given up. */
-  public static class GivingUp {
+  /** Which task is abandoned. */
+  public static class Abandoning {
 
     @Test
     public void afterItWasBlamedTwice() {
@@ -114,25 +114,25 @@
       return worker;
     }
 
-    private static boolean hasPlace(Task task, Worker worker) {
-      WorkerSelector placement = new WorkerSelector(new LearnedInterference());
-      return placement.choose(task, QUEUE, List.of(worker), 0).isPresent();
+    private static boolean canBePlaced(Task task, Worker worker) {
+      WorkerSelector workerSelector = new WorkerSelector(new LearnedInterference());
+      return workerSelector.choose(task, QUEUE, List.of(worker), 0).isPresent();
     }
 
     /**
-     * Two tasks each lost two workers. Started on one worker, both would lose the third, and
-     * neither could be told from the other.
+     * Guards against two tasks that each lost two workers and start on the same one. Both would
+     * lose a third worker, and neither could be distinguished from the other.
      */
     @Test
     public void keepsSuspectsApart() {
       Task suspect = placed("a", 2);
-      assertTrue(hasPlace(suspect, worker(placed("b", 1))));
-      assertEquals(hasPlace(suspect, worker(placed("b", 2))), false);
+      assertTrue(canBePlaced(suspect, worker(placed("b", 1))));
+      assertEquals(canBePlaced(suspect, worker(placed("b", 2))), false);
     }
 
     @Test
-    public void letsOthersJoin() {
-      assertTrue(hasPlace(placed("a", 1), worker(placed("b", 2))));
+    public void placesOtherTasksBesideSuspects() {
+      assertTrue(canBePlaced(placed("a", 1), worker(placed("b", 2))));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
+++ b/core/src/test/java/org/cottontack/core/job/InterferenceTest.java
@@ -35,7 +35,7 @@
   }
 
   private static Task bestEffort(String image) {
-    return TestWorker.filling("f" + image, image);
+    return TestWorker.bestEffort("f" + image, image);
   }
 
   private static double headroomUseWith(Interference interference, Worker worker, String image) {
--- a/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSchedulerTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -15,268 +15,276 @@
 
   private static final long LEASE_MILLIS = LeaderLease.GRANT_MILLIS;
 
-  /** Steps, attempts and ends on a calm day. */
-  public static class Course {
+  /** Steps, attempts and completions without faults. */
+  public static class NormalOperation {
 
     @Test
     public void runsStepsInOrderAndCompletes() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       JobSpec job = job("a", step(4, 2, List.of()), step(2, 2, List.of(0)));
-      lab.submit(job);
-      lab.run(300);
-      assertEquals(lab.starts(), 4);
-      lab.run(900);
-      assertEquals(lab.starts(), 6);
-      lab.run(300);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.submit(job);
+      simulation.run(300);
+      assertEquals(simulation.starts(), 4);
+      simulation.run(900);
+      assertEquals(simulation.starts(), 6);
+      simulation.run(300);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
 
     @Test
     public void failsAfterTheLastAttempt() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
-      lab.fails = true;
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.fails = true;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.FAILED);
-      assertEquals(lab.starts(), 2);
+      simulation.submit(job);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.FAILED);
+      assertEquals(simulation.starts(), 2);
     }
 
     @Test
-    public void restartsWhatLastsHoweverItEnds() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
-      lab.fails = true;
+    public void restartsLongRunningTasksHoweverTheyEnd() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.fails = true;
       JobSpec job = job("a", step(1, 2, List.of(), StepSpec.Trait.LASTS));
-      lab.submit(job);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.RUNNING);
-      assertTrue(lab.starts() > 3, "starts: " + lab.starts());
+      simulation.submit(job);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.RUNNING);
+      assertTrue(simulation.starts() > 3, "starts: " + simulation.starts());
     }
 
     @Test
     public void keepsToTheSpreadLimit() {
       SimulatedWorker first = new SimulatedWorker("w1", 32);
       SimulatedWorker second = new SimulatedWorker("w2", 32);
-      JobSimulation lab = lab(first, second);
-      lab.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
-      lab.run(300);
+      JobSimulation simulation = simulation(first, second);
+      simulation.submit(job("a", step(6, 1, List.of(), 2, "", 0)));
+      simulation.run(300);
       assertEquals(first.count(), 2);
       assertEquals(second.count(), 2);
     }
 
     @Test
-    public void waitsForRoomRatherThanOverfillOne() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
+    public void waitsForCapacityRatherThanOvercommit() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(6, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      assertEquals(lab.starts(), 2);
-      lab.run(3_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.submit(job);
+      simulation.run(300);
+      assertEquals(simulation.starts(), 2);
+      simulation.run(3_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
     }
   }
 
-  /** What is stored before what is sent. */
+  /** Order of saves and messages. */
   public static class Durability {
 
     /**
-     * The store is away. A placement that was sent without being stored would be unknown to the
-     * next leader, which would start the task again elsewhere while it runs.
+     * Guards against a placement that is sent while the store is unavailable. The next leader would
+     * not know of it and would start the task elsewhere while it runs.
      */
     @Test
     public void startsNothingThatIsNotStored() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8));
-      lab.storeAway = true;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(2_000);
-      assertEquals(lab.starts(), 0);
-      lab.storeBack();
-      lab.run(200);
-      assertEquals(lab.starts(), 1);
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 8));
+      simulation.storeUnavailable = true;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(2_000);
+      assertEquals(simulation.starts(), 0);
+      simulation.restoreStore();
+      simulation.run(200);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
-     * A task ends while the store is away. Once acknowledged, its worker forgets the end; a leader
-     * that comes next would find neither run nor end and run the finished task again.
+     * Guards against acknowledging a completion while the store is unavailable. The worker then
+     * forgets it, and the next leader would find neither run nor completion and repeat the finished
+     * task.
      */
     @Test
-    public void acknowledgesNoEndThatIsNotStored() {
+    public void acknowledgesNoCompletionThatIsNotStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation simulation = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(200);
-      lab.storeAway = true;
-      lab.run(7_000);
-      assertEquals(worker.acknowledgedEnds(), 0);
-      lab.takeOver();
-      lab.storeBack();
-      lab.run(1_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.submit(job);
+      simulation.run(200);
+      simulation.storeUnavailable = true;
+      simulation.run(7_000);
+      assertEquals(worker.lastAcknowledgedCompletion(), 0);
+      simulation.takeOver();
+      simulation.restoreStore();
+      simulation.run(1_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
   }
 
-  /** Orders that get no answer, workers that go and come back. */
-  public static class Doubt {
+  /** Orders without an answer, and workers that disappear and return. */
+  public static class UnansweredOrders {
 
     /**
-     * A start gets no answer but was carried out. The leader sends it again; the worker takes the
-     * same run as the same, and the task runs once.
+     * Guards against a second run when a start was carried out but its answer was lost. The leader
+     * resends the start, and the worker treats both as the same run.
      */
     @Test
     public void startsOnceWhenTheAnswerIsLost() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
-      lab.lost =
+      simulation.lost =
           effect -> {
             boolean lose = first[0];
             first[0] = false;
             return lose;
           };
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.workMillis = 3_000;
-      lab.submit(job);
-      lab.run(5_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.workMillis = 3_000;
+      simulation.submit(job);
+      simulation.run(5_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
-     * A start stays under way for 3 s while its repetition has long run and ended. When it arrives
-     * the worker has seen that run end, so the task is not run a second time.
+     * Guards against a second run when a start is delayed by 3 s and arrives after its duplicate
+     * has run and ended. The worker has seen that run end and refuses the late start.
      */
     @Test
     public void runsOnceWhenAnOrderArrivesLate() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
       boolean[] first = {true};
-      lab.late =
+      simulation.late =
           effect -> {
             boolean delay = first[0];
             first[0] = false;
             return delay;
           };
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(6_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 1);
+      simulation.submit(job);
+      simulation.run(6_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
-     * A look is on its way when a run begins, and its answer, made before that, arrives after it
-     * without the run. Taken at its word the task would start again beside itself.
+     * Guards against an outdated poll answer. The poll was in flight when a run began, and its
+     * answer, created before that, arrives afterwards without the run. Trusting it would start the
+     * task a second time.
      */
     @Test
-    public void olderReportsTakeNothingAway() {
+    public void olderReportsReleaseNoRun() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
-      lab.workMillis = 60_000;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
       WorkerReport older =
-          new WorkerReport(WorkerIncarnation.UNKNOWN_START_TIME, lab.now, List.of(), List.of());
-      lab.post(new JobEvent.WorkerReported(worker.info.incarnation(), lab.now - 200, older));
-      lab.run(1_000);
-      assertEquals(lab.starts(), 1);
+          new WorkerReport(
+              WorkerIncarnation.UNKNOWN_START_TIME, simulation.now, List.of(), List.of());
+      simulation.post(
+          new JobEvent.WorkerReported(worker.info.incarnation(), simulation.now - 200, older));
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 1);
     }
 
     /**
-     * A worker is cut off while it runs a task. The task starts elsewhere only after its lease has
-     * certainly ended there; until then it would run twice.
+     * Guards against a second run of a task whose worker is cut off. The task starts elsewhere only
+     * after its lease is certain to have ended.
      */
     @Test
-    public void waitsOutTheLeaseOfWorkersOutOfReach() {
+    public void waitsOutTheLeaseOfUnreachableWorkers() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      JobSimulation lab = lab(first, second);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(first, second);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      SimulatedWorker holder = first.count() > 0 ? first : second;
-      holder.reachable = false;
-      lab.run(LEASE_MILLIS - 1_000);
-      assertEquals(lab.starts(), 1);
-      lab.run(4_000);
-      assertEquals(lab.starts(), 2);
+      simulation.submit(job);
+      simulation.run(300);
+      SimulatedWorker workerOfTask = first.count() > 0 ? first : second;
+      workerOfTask.reachable = false;
+      simulation.run(LEASE_MILLIS - 1_000);
+      assertEquals(simulation.starts(), 1);
+      simulation.run(4_000);
+      assertEquals(simulation.starts(), 2);
     }
 
     /**
-     * A leader dies with tasks running. The next one finds them on their workers and leaves them
-     * alone: their callers see one run of each task.
+     * Guards against restarting tasks after a leader change. The new leader finds them on their
+     * workers and leaves them running, so each task runs once.
      */
     @Test
     public void takesOverWithoutStartingAgain() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
-      lab.workMillis = 3_000;
+      JobSimulation simulation =
+          simulation(new SimulatedWorker("w1", 8), new SimulatedWorker("w2", 8));
+      simulation.workMillis = 3_000;
       JobSpec job = job("a", step(4, 2, List.of()));
-      lab.submit(job);
-      lab.run(500);
-      lab.takeOver();
-      lab.run(5_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
-      assertEquals(lab.starts(), 4);
+      simulation.submit(job);
+      simulation.run(500);
+      simulation.takeOver();
+      simulation.run(5_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
+      assertEquals(simulation.starts(), 4);
     }
 
     /**
-     * A leader dies between storing a placement and sending its order. The next leader asks the
-     * worker, does not find the run, and starts the task anew under the next number.
+     * Guards against a lost task when a leader dies between storing a placement and sending its
+     * order. The next leader polls the worker, does not find the run, and starts the task again
+     * under the next run number.
      */
     @Test
     public void startsWhatTheLastLeaderOnlyStored() {
       SimulatedWorker worker = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(worker);
+      JobSimulation simulation = simulation(worker);
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.specs.put(job.id(), job);
-      lab.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
-      lab.takeOver();
-      lab.run(2_000);
-      assertEquals(lab.phase(job.id()), JobPhase.COMPLETE);
+      simulation.specs.put(job.id(), job);
+      simulation.stored.put(job.id(), "r\n0 0 0 p 1 0 w1 ");
+      simulation.takeOver();
+      simulation.run(2_000);
+      assertEquals(simulation.phase(job.id()), JobPhase.COMPLETE);
       assertEquals(worker.starts.keySet(), Set.of(new RunKey(TaskName.parse("a.0.0.0"), 2)));
     }
 
     /**
-     * A worker dies with its lists after its task was stored on it, and another life registers at
-     * its address. What ran there is gone at once and starts elsewhere without a wait for the
-     * lease.
+     * Guards against waiting for the lease of a worker that another incarnation has replaced at its
+     * address. Its runs are gone, so their tasks start elsewhere at once.
      */
     @Test
-    public void restartsAtOnceWhenAnotherLifeAnswers() {
+    public void restartsAtOnceWhenAnotherIncarnationAnswers() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(first);
-      lab.workMillis = 2_000;
+      JobSimulation simulation = simulation(first);
+      simulation.workMillis = 2_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
+      simulation.submit(job);
+      simulation.run(300);
       first.dead = true;
       SimulatedWorker second = new SimulatedWorker("w2", 8);
-      lab.workers.put(second.info.id(), second);
-      lab.post(new JobEvent.WorkerSeen(second.info));
-      lab.post(new JobEvent.WorkerReborn(first.info.incarnation()));
-      lab.run(500);
+      simulation.workers.put(second.info.id(), second);
+      simulation.post(new JobEvent.WorkerSeen(second.info));
+      simulation.post(new JobEvent.WorkerReborn(first.info.incarnation()));
+      simulation.run(500);
       assertEquals(second.count(), 1);
     }
 
     /**
-     * A worker crashes and starts again at its address; its old entry leaves the list a little
-     * later. Its tasks start at once then, not when the old life's leases would have ended.
+     * Guards against waiting for the leases of a worker that crashed and restarted at its address.
+     * Its tasks start as soon as the old entry leaves the list.
      */
     @Test
     public void restartsAtOnceWhenTheAddressIsTakenOver() {
       SimulatedWorker first = new SimulatedWorker("w1", 8);
-      JobSimulation lab = lab(first);
-      lab.workMillis = 2_000;
-      lab.submit(job("a", step(1, 2, List.of())));
-      lab.run(300);
+      JobSimulation simulation = simulation(first);
+      simulation.workMillis = 2_000;
+      simulation.submit(job("a", step(1, 2, List.of())));
+      simulation.run(300);
       first.dead = true;
       SimulatedWorker second = new SimulatedWorker("w2", 8, first.info.address());
-      lab.workers.put(second.info.id(), second);
-      lab.post(new JobEvent.WorkerSeen(second.info));
-      lab.run(500);
+      simulation.workers.put(second.info.id(), second);
+      simulation.post(new JobEvent.WorkerSeen(second.info));
+      simulation.run(500);
       assertEquals(second.count(), 0);
-      lab.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
-      lab.run(500);
+      simulation.post(new JobEvent.WorkerUnlisted(first.info.incarnation()));
+      simulation.run(500);
       assertEquals(second.count(), 1);
     }
   }
@@ -287,51 +295,51 @@
     @Test
     public void stopsWhatRunsAndStartsNothingMore() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = lab(worker);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(6, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.run(500);
+      simulation.submit(job);
+      simulation.run(300);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.run(500);
       assertEquals(worker.count(), 0);
-      lab.run(3_000);
-      assertEquals(lab.starts(), 2);
-      assertEquals(lab.phase(job.id()), JobPhase.CANCELLED);
+      simulation.run(3_000);
+      assertEquals(simulation.starts(), 2);
+      assertEquals(simulation.phase(job.id()), JobPhase.CANCELLED);
     }
 
     /**
-     * A job is accepted and cancelled while a new leader reads its tables; the cancellation reaches
-     * it first. The caller was told that the job is cancelled, so nothing of it may start.
+     * Guards against losing a cancellation that reaches a new leader before the job itself. The
+     * caller was informed that the job is cancelled, so none of it may start.
      */
     @Test
-    public void keepsCancellationsThatOvertakeTheirJob() {
-      JobSimulation lab = lab(new SimulatedWorker("w1", 4));
+    public void keepsCancellationsThatArriveBeforeTheirJob() {
+      JobSimulation simulation = simulation(new SimulatedWorker("w1", 4));
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.submit(job);
-      lab.run(1_000);
-      assertEquals(lab.starts(), 0);
-      assertEquals(lab.phase(job.id()), JobPhase.CANCELLED);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.submit(job);
+      simulation.run(1_000);
+      assertEquals(simulation.starts(), 0);
+      assertEquals(simulation.phase(job.id()), JobPhase.CANCELLED);
     }
 
     /**
-     * A cancelled job's worker is out of reach when the stop is sent and comes back later. The stop
-     * goes out again until the run is gone.
+     * Guards against a run that survives because its worker was unreachable when the stop was sent.
+     * The stop is resent until the run is gone.
      */
     @Test
     public void stopsAgainUntilTheRunIsGone() {
       SimulatedWorker worker = new SimulatedWorker("w1", 4);
-      JobSimulation lab = lab(worker);
-      lab.workMillis = 60_000;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 60_000;
       JobSpec job = job("a", step(1, 2, List.of()));
-      lab.submit(job);
-      lab.run(300);
+      simulation.submit(job);
+      simulation.run(300);
       worker.reachable = false;
-      lab.post(new JobEvent.JobCancelled(job.id()));
-      lab.run(2_000);
+      simulation.post(new JobEvent.JobCancelled(job.id()));
+      simulation.run(2_000);
       worker.reachable = true;
-      lab.run(2_000);
+      simulation.run(2_000);
       assertEquals(worker.count(), 0);
     }
   }
--- a/core/src/test/java/org/cottontack/core/job/JobSimulation.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -19,8 +19,9 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A leader, a store and workers in virtual time. Orders take 2 ms each way and saves 12 ms, unless
- * a test holds them back. {@link SimulationInvariants} are checked at every step and every start.
+ * Simulates a leader, a store and workers in virtual time. Orders take 2 ms each way and saves 12
+ * ms, unless a test delays them. {@link SimulationInvariants} are checked at every step and every
+ * start.
  */
 final class JobSimulation {
 
@@ -28,17 +29,17 @@
   private static final long TICK_MILLIS = 100;
   private static final long STEP_MILLIS = 10;
 
-  /** Time until a slow list shows that a worker has started again, in milliseconds. */
-  private static final long LISTED_LATE_MILLIS = 1_100;
+  /** Time until a slow worker list shows that a worker has restarted, in milliseconds. */
+  private static final long LISTING_DELAY_MILLIS = 1_100;
 
-  /** For how long there was no leader before the first one, in milliseconds. */
-  private static final long NONE_BEFORE_MILLIS = 60_000;
+  /** How long there was no leader before the first one, in milliseconds. */
+  private static final long LEADERLESS_MILLIS = 60_000;
 
-  private record Due(long at, long order, Runnable what) {}
+  private record ScheduledAction(long atMillis, long order, Runnable action) {}
 
   final Map<WorkerId, SimulatedWorker> workers = new LinkedHashMap<>();
 
-  /** Lives that ended and whose identifier another one has now. */
+  /** Incarnations that ended and whose identifier another one has now. */
   private final List<SimulatedWorker> replaced = new ArrayList<>();
 
   final Map<JobId, String> stored = new HashMap<>();
@@ -47,51 +48,57 @@
   Predicate<JobEffect> lost = effect -> false;
   Predicate<JobEffect> late = effect -> false;
 
-  /** By how many milliseconds an unanswered order is carried out late; 0 for the usual way. */
+  /**
+   * Delay after which an unanswered order is carried out, in milliseconds; 0 for normal handling.
+   */
   ToLongFunction<JobEffect> delay = effect -> 0;
 
-  /** For how long a worker survives a task, in milliseconds; those without an entry do no harm. */
+  /** How long a worker survives a task, in milliseconds; tasks without an entry do no harm. */
   final Map<TaskName, Long> fatal = new HashMap<>();
 
-  /** Whether the list of workers still holds a crashed one when its next life answers. */
-  boolean listsTheDead;
+  /** Whether the worker list still holds a crashed worker when its next incarnation answers. */
+  boolean listsCrashedWorkers;
 
-  /** Whether a crashed worker comes back under the identifier that it had. */
+  /** Whether a crashed worker restarts under its old identifier. */
   boolean keepsIds;
 
   /** Time until a crashed worker is back, in milliseconds. */
   long restartMillis = 3_000;
 
-  /** How long an order takes to its worker, and an answer back, in milliseconds. */
-  long tripMillis = 2;
+  /** One-way delay of orders and answers, in milliseconds. */
+  long oneWayDelayMillis = 2;
 
-  /** Longest time that a worker waits for an end before it answers a look, in milliseconds. */
+  /**
+   * Longest time that a worker waits for a completion before it answers a poll, in milliseconds.
+   */
   long longestWaitMillis = 50;
 
   private int crashes;
 
-  boolean storeAway;
+  boolean storeUnavailable;
   boolean fails;
   long workMillis = 500;
   long now = 1_000;
   long epoch = 1;
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledAction> due =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::atMillis)
+              .thenComparingLong(ScheduledAction::order));
   private final Deque<JobEffect.SaveProgress> waitingSaves = new ArrayDeque<>();
   private long orders;
   private JobScheduler leader;
   private JobTable table = JobTable.EMPTY;
   private Moment renewal;
   Set<DataCentreId> evacuated = Set.of();
-  private final SimulationInvariants promises = new SimulationInvariants(this);
+  private final SimulationInvariants invariants = new SimulationInvariants(this);
   private String learned = "";
 
   JobSimulation(SimulatedWorker... all) {
     for (SimulatedWorker worker : all) {
       workers.put(worker.info.id(), worker);
     }
-    leader = new JobScheduler(JobTiming.STANDARD, table, moment(), now - NONE_BEFORE_MILLIS);
-    introduce();
+    leader = new JobScheduler(JobTiming.STANDARD, table, moment(), now - LEADERLESS_MILLIS);
+    registerWorkers();
     tick(leader);
   }
 
@@ -99,7 +106,7 @@
     return new Moment(now, now);
   }
 
-  private void introduce() {
+  private void registerWorkers() {
     post(new JobEvent.DataCentresEvacuated(evacuated));
     workers.values().stream()
         .filter(worker -> !worker.dead)
@@ -111,7 +118,7 @@
     post(new JobEvent.TableChanged(next));
   }
 
-  /** The operator empties these data centres, and no others. */
+  /** Evacuates exactly these data centres. */
   void evacuate(String... dataCentres) {
     evacuated = Stream.of(dataCentres).map(DataCentreId::new).collect(Collectors.toSet());
     post(new JobEvent.DataCentresEvacuated(evacuated));
@@ -122,20 +129,23 @@
     post(new JobEvent.JobArrived(job));
   }
 
-  /** The leader is killed; orders that it has sent are still carried out. */
-  void leaderDies() {
+  /** Kills the leader; orders that it has sent are still carried out. */
+  void killLeader() {
     leader = null;
     waitingSaves.clear();
   }
 
-  /** Another instance takes over with what is stored; the old leader hears nothing any more. */
+  /**
+   * Lets another instance take over with the stored state. The old leader receives no further
+   * events.
+   */
   void takeOver() {
     epoch++;
     waitingSaves.clear();
     long inherited = renewal.mono() + LeaderLease.GRANT_MILLIS;
     leader = new JobScheduler(JobTiming.STANDARD, table, moment(), inherited);
     post(new JobEvent.LearnedRecovered(learned));
-    introduce();
+    registerWorkers();
     specs.values().forEach(this::recover);
     tick(leader);
   }
@@ -152,61 +162,61 @@
 
   private void post(JobScheduler to, JobEvent event) {
     if (to != null && to == leader) {
-      leader.reduce(moment(), event).forEach(this::carryOut);
+      leader.reduce(moment(), event).forEach(this::execute);
     }
   }
 
   private void tick(JobScheduler to) {
     if (to != null && to == leader) {
-      renewal = storeAway ? renewal : moment();
+      renewal = storeUnavailable ? renewal : moment();
       post(to, new JobEvent.Tick(renewal));
       after(TICK_MILLIS, () -> tick(to));
     }
   }
 
-  private void after(long millis, Runnable what) {
+  private void after(long millis, Runnable action) {
     orders++;
-    due.add(new Due(now + millis, orders, what));
+    due.add(new ScheduledAction(now + millis, orders, action));
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual time. */
   void run(long millis) {
     long end = now + millis;
     while (now < end) {
       now = Math.min(end, now + STEP_MILLIS);
       workers.values().forEach(worker -> worker.advance(now, fails));
-      while (!due.isEmpty() && due.peek().at() <= now) {
-        due.poll().what().run();
+      while (!due.isEmpty() && due.peek().atMillis() <= now) {
+        due.poll().action().run();
       }
-      promises.checkRuns();
+      invariants.checkRuns();
     }
   }
 
-  /** Returns all lives of all workers. */
-  Stream<SimulatedWorker> lives() {
+  /** Returns all incarnations of all workers. */
+  Stream<SimulatedWorker> incarnations() {
     return Stream.concat(workers.values().stream(), replaced.stream());
   }
 
-  private void carryOut(JobEffect effect) {
+  private void execute(JobEffect effect) {
     seen.add(effect);
     JobScheduler from = leader;
     long inEpoch = epoch;
     if (effect instanceof JobEffect.Note note) {
-      promises.checkMissing(note);
+      invariants.checkMissing(note);
     } else if (effect instanceof JobEffect.SaveProgress save) {
       save(from, save);
     } else if (effect instanceof JobEffect.StartRun start) {
-      promises.checkStart(start);
+      invariants.checkStart(start);
       start(from, start.target().fencingToken(inEpoch), start);
     } else if (effect instanceof JobEffect.StopRun stop) {
       stop(from, stop.target().fencingToken(inEpoch), stop);
-    } else if (effect instanceof JobEffect.LookAtWorker look) {
-      look(from, look.target().fencingToken(inEpoch), look);
+    } else if (effect instanceof JobEffect.LookAtWorker poll) {
+      poll(from, poll.target().fencingToken(inEpoch), poll);
     }
   }
 
   private void save(JobScheduler from, JobEffect.SaveProgress save) {
-    if (storeAway) {
+    if (storeUnavailable) {
       waitingSaves.add(save);
       return;
     }
@@ -221,9 +231,9 @@
         });
   }
 
-  /** Brings the store back; saves that waited are done. */
-  void storeBack() {
-    storeAway = false;
+  /** Makes the store available again and completes the saves that waited for it. */
+  void restoreStore() {
+    storeUnavailable = false;
     while (!waitingSaves.isEmpty()) {
       save(leader, waitingSaves.poll());
     }
@@ -232,10 +242,10 @@
   private void start(JobScheduler from, long token, JobEffect.StartRun order) {
     SimulatedWorker worker = workers.get(order.target().incarnation().worker());
     boolean unanswered = lost.test(order) || !worker.reachable || worker.dead;
-    long held = delay.applyAsLong(order);
-    boolean delayed = late.test(order) || held > 0;
+    long delayMillis = delay.applyAsLong(order);
+    boolean delayed = late.test(order) || delayMillis > 0;
     if (!worker.dead && worker.reachable) {
-      long millis = held > 0 ? held : delayed ? 3_000 : tripMillis;
+      long millis = delayMillis > 0 ? delayMillis : delayed ? 3_000 : oneWayDelayMillis;
       Resources need = need(order);
       after(
           millis,
@@ -245,10 +255,10 @@
                 there.dead ? StartResult.UNKNOWN : there.start(order, token, now, workMillis, need);
             Long survives = fatal.get(order.run().task());
             if (survives != null && result == StartResult.STARTED) {
-              after(survives, () -> crashUnder(there, order.run()));
+              after(survives, () -> crashIfRunning(there, order.run()));
             }
             if (!unanswered && !delayed) {
-              after(tripMillis, () -> started(from, order, result));
+              after(oneWayDelayMillis, () -> started(from, order, result));
             }
           });
     }
@@ -257,13 +267,15 @@
     }
   }
 
-  private void crashUnder(SimulatedWorker worker, RunKey run) {
+  private void crashIfRunning(SimulatedWorker worker, RunKey run) {
     if (worker.runs().contains(run)) {
       crash(worker);
     }
   }
 
-  /** A worker's life ends with all that runs there; the next one has the same address. */
+  /**
+   * Ends a worker's incarnation with everything that runs there. The next one has the same address.
+   */
   void crash(SimulatedWorker worker) {
     crashes++;
     worker.dead = true;
@@ -273,7 +285,7 @@
           if (keepsIds) {
             restart(worker);
           } else {
-            replace(worker, worker.nextLife(worker.info.id().value() + "-" + crashes, now));
+            replace(worker, worker.nextIncarnation(worker.info.id().value() + "-" + crashes, now));
           }
         });
   }
@@ -282,15 +294,15 @@
     workers.put(next.info.id(), next);
     post(new JobEvent.WorkerSeen(next.info));
     WorkerIncarnation dead = worker.info.incarnation();
-    post(listsTheDead ? new JobEvent.WorkerReborn(dead) : new JobEvent.WorkerUnlisted(dead));
+    post(listsCrashedWorkers ? new JobEvent.WorkerReborn(dead) : new JobEvent.WorkerUnlisted(dead));
   }
 
   private void restart(SimulatedWorker worker) {
-    SimulatedWorker next = worker.nextLife(worker.info.id().value(), now);
+    SimulatedWorker next = worker.nextIncarnation(worker.info.id().value(), now);
     replaced.add(worker);
     workers.put(next.info.id(), next);
     after(
-        listsTheDead ? LISTED_LATE_MILLIS : 0,
+        listsCrashedWorkers ? LISTING_DELAY_MILLIS : 0,
         () -> {
           if (!next.dead) {
             post(new JobEvent.WorkerSeen(next.info));
@@ -298,7 +310,7 @@
         });
   }
 
-  /** Returns the news that a worker is about to leave. */
+  /** Returns the event that a worker is about to leave. */
   static JobEvent draining(SimulatedWorker worker) {
     WorkerInfo info = worker.info;
     return new JobEvent.WorkerSeen(
@@ -312,9 +324,12 @@
             true));
   }
 
-  /** Returns on how many workers runs of a task have begun. */
+  /**
+   * Returns the number of starts of a task's runs on all workers, counting each run once per
+   * worker.
+   */
   long startsOf(TaskName task) {
-    return lives()
+    return incarnations()
         .flatMap(worker -> worker.starts.keySet().stream())
         .filter(run -> run.task().equals(task))
         .count();
@@ -331,9 +346,9 @@
 
   private void stop(JobScheduler from, long token, JobEffect.StopRun order) {
     SimulatedWorker worker = workers.get(order.target().incarnation().worker());
-    long held = delay.applyAsLong(order);
-    if (held > 0) {
-      after(held, () -> workers.get(worker.info.id()).stop(order.run(), token));
+    long delayMillis = delay.applyAsLong(order);
+    if (delayMillis > 0) {
+      after(delayMillis, () -> workers.get(worker.info.id()).stop(order.run(), token));
       after(
           900,
           () ->
@@ -342,7 +357,7 @@
     }
     boolean answers = worker.reachable && !worker.dead && !lost.test(order);
     after(
-        answers ? tripMillis : 900,
+        answers ? oneWayDelayMillis : 900,
         () -> {
           if (answers) {
             worker.stop(order.run(), token);
@@ -351,40 +366,40 @@
         });
   }
 
-  private void look(JobScheduler from, long token, JobEffect.LookAtWorker order) {
-    WorkerIncarnation asked = order.target().incarnation();
-    WorkerId id = asked.worker();
+  private void poll(JobScheduler from, long token, JobEffect.LookAtWorker order) {
+    WorkerIncarnation polled = order.target().incarnation();
+    WorkerId id = polled.worker();
     long sent = now;
-    long held = delay.applyAsLong(order);
-    if (held > 0) {
-      after(held, () -> workers.get(id).look(order, token, now));
-      after(800, () -> post(from, new JobEvent.WorkerSilent(asked)));
+    long delayMillis = delay.applyAsLong(order);
+    if (delayMillis > 0) {
+      after(delayMillis, () -> workers.get(id).poll(order, token, now));
+      after(800, () -> post(from, new JobEvent.WorkerSilent(polled)));
       return;
     }
     after(
-        Math.max(tripMillis, Math.min(order.waitMillis(), longestWaitMillis)),
+        Math.max(oneWayDelayMillis, Math.min(order.waitMillis(), longestWaitMillis)),
         () -> {
           SimulatedWorker worker = workers.get(id);
           if (worker == null || !worker.reachable || worker.dead) {
-            after(800, () -> post(from, new JobEvent.WorkerSilent(asked)));
+            after(800, () -> post(from, new JobEvent.WorkerSilent(polled)));
           } else {
             boolean fenced = token < worker.token;
-            WorkerReport report = worker.look(order, token, now);
+            WorkerReport report = worker.poll(order, token, now);
             post(
                 from,
                 fenced
-                    ? new JobEvent.WorkerFenced(asked)
-                    : new JobEvent.WorkerReported(asked, sent, report));
+                    ? new JobEvent.WorkerFenced(polled)
+                    : new JobEvent.WorkerReported(polled, sent, report));
           }
         });
   }
 
-  /** Returns whether an order that waited for its connection may leave now. */
+  /** Returns whether an order that waited for its connection may still be sent. */
   boolean maySend(JobEffect.StartRun start) {
     return leader.maySend(start.target().incarnation(), start.run());
   }
 
-  /** Returns whether the leader may give the lead to an instance of a data centre. */
+  /** Returns whether the leader may yield leadership to an instance of a data centre. */
   boolean mayYieldLeadershipTo(String dataCentre) {
     return leader.mayYieldLeadershipTo(new DataCentreId(dataCentre));
   }
@@ -412,7 +427,7 @@
   }
 
   int starts() {
-    return lives()
+    return incarnations()
         .flatMap(worker -> worker.starts.values().stream())
         .mapToInt(Integer::intValue)
         .sum();
--- a/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LearnedTextTest.java
@@ -31,7 +31,7 @@
 
   private static double effect(Interference interference, String serving, String bestEffort) {
     Task one = TestWorker.serving("s", serving);
-    Task other = TestWorker.filling("f", bestEffort);
+    Task other = TestWorker.bestEffort("f", bestEffort);
     return interference.effect(TestWorker.with(one, other), one, other);
   }
 
@@ -55,7 +55,7 @@
     public void keepsAnyName(String image) {
       Interference interference = new LearnedInterference();
       Worker sharedWorker =
-          sharedWorker(TestWorker.serving("s", image), TestWorker.filling("f", image));
+          sharedWorker(TestWorker.serving("s", image), TestWorker.bestEffort("f", image));
       for (int i = 0; i < 20; i++) {
         interference.learn(sharedWorker, 500L * i);
       }
@@ -185,7 +185,7 @@
         String image = "image number " + i + " of a caller with long names";
         interference.learn(
             sharedWorker(
-                TestWorker.serving("s", image.substring(i % 3)), TestWorker.filling("f", image)),
+                TestWorker.serving("s", image.substring(i % 3)), TestWorker.bestEffort("f", image)),
             500L * i);
       }
       String text =
@@ -202,11 +202,11 @@
     public void forgetsImagesReportedLongestAgo() {
       Interference interference = new LearnedInterference();
       Worker recurring =
-          sharedWorker(TestWorker.serving("s", "web"), TestWorker.filling("f", "batch"));
+          sharedWorker(TestWorker.serving("s", "web"), TestWorker.bestEffort("f", "batch"));
       for (int i = 0; i < 600; i++) {
         interference.learn(recurring, 500L * i);
         Worker harmless =
-            sharedWorker(TestWorker.serving("s", "web"), TestWorker.filling("f", "image" + i));
+            sharedWorker(TestWorker.serving("s", "web"), TestWorker.bestEffort("f", "image" + i));
         harmless.serving().forEach(task -> task.load = QUIET_TAIL);
         interference.learn(harmless, 500L * i);
       }
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -61,7 +61,7 @@
     @Test
     public void haltsRunThatPushesTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_500);
@@ -77,7 +77,7 @@
     @Test
     public void staysHaltedAfterOneReportBelowTheBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       simulation.submit(bestEffort("f", "batch"));
       worker.loads.put("f", 0.1);
@@ -100,7 +100,7 @@
     @Test
     public void startsNothingBesideTailOverItsBound() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       worker.loads.put("s", 18.5);
       simulation.run(1_200);
@@ -119,7 +119,7 @@
     @Test
     public void repeatsPaceOrderWhenItsAnswerIsLost() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(500);
@@ -139,7 +139,7 @@
     @Test
     public void restoresPaceAfterTakeover() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_000);
@@ -158,7 +158,7 @@
     @Test
     public void restoresPaceWhenNoServingTaskIsLeft() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_500);
@@ -176,7 +176,7 @@
     @Test
     public void stopsHaltedRunThoughNoOtherWorkerHasCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 60_000, "s");
       simulation.submit(
           job(
@@ -206,7 +206,7 @@
     public void packsServingTasksOfOneImage() {
       SimulatedWorker first = new SimulatedWorker("w1", 16);
       SimulatedWorker second = new SimulatedWorker("w2", 16);
-      JobSimulation simulation = lab(first, second);
+      JobSimulation simulation = simulation(first, second);
       simulation.workMillis = 60_000;
       simulation.submit(serving("s1", "web"));
       simulation.run(200);
@@ -226,7 +226,7 @@
     @Test
     public void runsHarmfulImageWherePoolIsLightlyReserved() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 3_000, "s");
       submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
       simulation.run(3_500);
@@ -243,7 +243,8 @@
     @Test
     public void keepsHarmfulImageWaitingThoughAnotherPoolIsIdle() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
+      JobSimulation simulation =
+          simulation(worker, new SimulatedWorker("x1", 99, "x1:1", "dc", "other"));
       runServingTasks(simulation, 3_000, "s", "t", "u");
       submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
       raiseTailWhileBothRun(simulation, worker, 3_500);
@@ -260,7 +261,7 @@
     @Test
     public void separatesPairsKnownToInterfere() {
       SimulatedWorker worker = new SimulatedWorker("w1", 16);
-      JobSimulation simulation = lab(worker);
+      JobSimulation simulation = simulation(worker);
       runServingTasks(simulation, 3_000, "s", "t", "u");
       submitHarmful(simulation, worker, bestEffort("f1", "batch"), 180.0);
       raiseTailWhileBothRun(simulation, worker, 3_500);
--- a/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/ShrinkingWorkerTest.java
@@ -1,17 +1,17 @@
 package org.cottontack.core.job;
 
 import static org.cottontack.core.job.JobFixtures.job;
-import static org.cottontack.core.job.JobFixtures.lab;
+import static org.cottontack.core.job.JobFixtures.simulation;
 import static org.cottontack.core.job.JobFixtures.step;
 import static org.testng.Assert.assertEquals;
 
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of decisions about workers that say they have less than before. */
+/** Tests of decisions about workers that report less capacity than before. */
 public class ShrinkingWorkerTest {
 
-  /** Workers whose capacity shrinks while they run, and grows again. */
+  /** Workers whose capacity shrinks while tasks run, and grows again. */
   public static class Starting {
 
     private static final TaskName SECOND = TaskName.parse("b.0.0.0");
@@ -28,66 +28,66 @@
           info.draining());
     }
 
-    /** Returns a lab whose only worker runs a task of three of its eight cores. */
+    /** Returns a simulation whose only worker runs a task that uses three of its eight cores. */
     private static JobSimulation busy(SimulatedWorker worker) {
-      JobSimulation lab = lab(worker);
-      lab.workMillis = 4_000;
-      lab.submit(job("a", step(1, 3, List.of())));
-      lab.run(500);
-      return lab;
+      JobSimulation simulation = simulation(worker);
+      simulation.workMillis = 4_000;
+      simulation.submit(job("a", step(1, 3, List.of())));
+      simulation.run(500);
+      return simulation;
     }
 
     private static JobSpec second() {
       return job("b", step(1, 3, List.of()));
     }
 
-    /** Guards against starts beyond what a worker has left. */
+    /** Guards against starts beyond a worker's remaining capacity. */
     @Test
-    public void startsNothingBeyondWhatIsLeft() {
+    public void startsNothingBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.submit(second());
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 8)));
-      lab.run(500);
-      assertEquals(lab.startsOf(SECOND), 1);
+      JobSimulation simulation = busy(worker);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.submit(second());
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 8)));
+      simulation.run(500);
+      assertEquals(simulation.startsOf(SECOND), 1);
     }
 
     /**
-     * Guards against an order that leaves after its worker shrank while the placement was stored.
+     * Guards against an order that is sent after its worker shrank while the placement was stored.
      */
     @Test
     public void startsNothingThatWaitedForTheStore() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.storeAway = true;
-      lab.submit(second());
-      lab.run(200);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.storeBack();
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
+      JobSimulation simulation = busy(worker);
+      simulation.storeUnavailable = true;
+      simulation.submit(second());
+      simulation.run(200);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.restoreStore();
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
     }
 
-    /** Guards against an order that is sent again after its worker shrank. */
+    /** Guards against an order that is resent after its worker shrank. */
     @Test
-    public void repeatsNoOrderBeyondWhatIsLeft() {
+    public void resendsNoOrderBeyondRemainingCapacity() {
       SimulatedWorker worker = new SimulatedWorker("w", 8);
-      JobSimulation lab = busy(worker);
-      lab.delay =
+      JobSimulation simulation = busy(worker);
+      simulation.delay =
           effect ->
               effect instanceof JobEffect.StartRun start && start.run().task().equals(SECOND)
                   ? 60_000
                   : 0;
-      lab.submit(second());
-      lab.run(500);
-      lab.post(new JobEvent.WorkerSeen(resized(worker, 4)));
-      lab.run(500);
-      lab.delay = effect -> 0;
-      lab.run(2_000);
-      assertEquals(lab.startsOf(SECOND), 0);
+      simulation.submit(second());
+      simulation.run(500);
+      simulation.post(new JobEvent.WorkerSeen(resized(worker, 4)));
+      simulation.run(500);
+      simulation.delay = effect -> 0;
+      simulation.run(2_000);
+      assertEquals(simulation.startsOf(SECOND), 0);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -11,19 +11,20 @@
 import org.cottontack.core.id.WorkerId;
 
 /**
- * A worker in virtual time: keeps fencing tokens, leases, ends, and bars runs that it has stopped.
+ * A worker in virtual time. It keeps fencing tokens, leases and completions, and refuses starts of
+ * runs that were stopped.
  */
 final class SimulatedWorker {
 
-  /** Longest lease, in milliseconds; a longer one is shortened to it. */
+  /** Longest lease, in milliseconds; a longer one is shortened to this. */
   private static final long LONGEST_LEASE_MILLIS = 10_000;
 
-  private static final class Held {
+  private static final class ActiveRun {
     final RunKey run;
     final long doneMillis;
     final Resources need;
 
-    Held(RunKey run, long doneMillis, Resources need) {
+    ActiveRun(RunKey run, long doneMillis, Resources need) {
       this.run = run;
       this.doneMillis = doneMillis;
       this.need = need;
@@ -38,26 +39,26 @@
   boolean failsAll;
   boolean stalls;
 
-  /** Whether ends are forgotten before they are listed. */
-  boolean listsNoEnds;
+  /** Whether completions are dropped before they are listed. */
+  boolean dropsCompletions;
 
   long token;
 
-  /** How fast its steady clock runs against ours. */
+  /** Rate of its steady clock relative to ours. */
   double speed = 1;
 
-  private final Map<RunKey, Held> running = new HashMap<>();
+  private final Map<RunKey, ActiveRun> running = new HashMap<>();
   private final Map<TaskName, Integer> barred = new HashMap<>();
-  private final List<WorkerReport.Completion> ended = new ArrayList<>();
-  private long ends;
+  private final List<WorkerReport.Completion> completions = new ArrayList<>();
+  private long lastCompletion;
   private long acknowledged;
   private long leaseEndMillis;
-  private final long bornMillis;
+  private final long startTimeMillis;
 
-  /** Runs that were done here, whether their end was listed or not. */
+  /** Runs that were done here, whether or not their completion was listed. */
   final Set<RunKey> done = new HashSet<>();
 
-  /** Tasks whose end as done was acknowledged. */
+  /** Tasks with an acknowledged completion as done. */
   final Set<TaskName> acknowledgedDone = new HashSet<>();
 
   SimulatedWorker(String id, long cores) {
@@ -77,11 +78,11 @@
   }
 
   private SimulatedWorker(
-      String id, long cores, String address, String dataCentre, String pool, long bornMillis) {
-    this.bornMillis = bornMillis;
+      String id, long cores, String address, String dataCentre, String pool, long startTimeMillis) {
+    this.startTimeMillis = startTimeMillis;
     this.info =
         new WorkerInfo(
-            new WorkerIncarnation(new WorkerId(id), bornMillis + 1),
+            new WorkerIncarnation(new WorkerId(id), startTimeMillis + 1),
             pool,
             address,
             new DataCentreId(dataCentre),
@@ -90,14 +91,16 @@
             false);
   }
 
-  /** Returns the worker that comes at this one's address after a crash. */
-  SimulatedWorker nextLife(String id, long now) {
+  /** Returns the worker that takes this one's address after a crash. */
+  SimulatedWorker nextIncarnation(String id, long now) {
     long cores = info.capacity().cpuMillis() / 1_000;
     return new SimulatedWorker(
         id, cores, info.address(), info.dataCentre().value(), info.pool(), now);
   }
 
-  /** Carries out an order to start; the run is done after the given time, or fails if negative. */
+  /**
+   * Carries out a start order. The run is done after the given time, or fails if that is negative.
+   */
   StartResult start(JobEffect.StartRun order, long epoch, long now, long work, Resources need) {
     if (epoch < token) {
       return StartResult.FENCED;
@@ -112,9 +115,9 @@
     if (order.deadlineMillis() <= clock(now)) {
       return StartResult.LATE;
     }
-    hold(order.deadlineMillis(), now);
+    extendLease(order.deadlineMillis(), now);
     starts.merge(order.run(), 1, Integer::sum);
-    running.put(order.run(), new Held(order.run(), now + work, need));
+    running.put(order.run(), new ActiveRun(order.run(), now + work, need));
     return StartResult.STARTED;
   }
 
@@ -128,42 +131,42 @@
     }
   }
 
-  WorkerReport look(JobEffect.LookAtWorker look, long epoch, long now) {
+  WorkerReport poll(JobEffect.LookAtWorker poll, long epoch, long now) {
     token = Math.max(token, epoch);
     if (epoch == token) {
-      hold(look.leaseEndMillis(), now);
-      acknowledged = Math.max(acknowledged, look.acknowledged());
+      extendLease(poll.leaseEndMillis(), now);
+      acknowledged = Math.max(acknowledged, poll.acknowledged());
     }
-    ended.stream()
+    completions.stream()
         .filter(
             end ->
                 end.number() <= acknowledged && end.status() == WorkerReport.CompletionStatus.DONE)
         .forEach(end -> acknowledgedDone.add(end.task()));
-    ended.removeIf(end -> end.number() <= acknowledged);
+    completions.removeIf(end -> end.number() <= acknowledged);
     List<WorkerReport.Running> list =
         running.keySet().stream()
             .map(
                 run ->
                     new WorkerReport.Running(run.task(), run.run(), "", progress(now), load(run)))
             .toList();
-    return new WorkerReport(info.incarnation().startTimeMillis(), clock(now), list, ended);
+    return new WorkerReport(info.incarnation().startTimeMillis(), clock(now), list, completions);
   }
 
   long ageMillis(long now) {
-    return now - bornMillis;
+    return now - startTimeMillis;
   }
 
-  private void hold(long untilMillis, long now) {
+  private void extendLease(long untilMillis, long now) {
     leaseEndMillis =
         Math.max(leaseEndMillis, Math.min(untilMillis, clock(now) + LONGEST_LEASE_MILLIS));
   }
 
-  /** Its clock begins with its life. */
+  /** Returns its clock, which starts with the incarnation. */
   private long clock(long now) {
-    return (long) (speed * (now - bornMillis));
+    return (long) (speed * (now - startTimeMillis));
   }
 
-  /** Runs make progress all the time, unless they stand still. */
+  /** Returns the progress of runs, which rises all the time unless they stall. */
   private int progress(long now) {
     return stalls ? 3 : loads.isEmpty() ? (int) (now / 10 % 100) : Task.FULL_PROGRESS;
   }
@@ -172,21 +175,23 @@
     return loads.getOrDefault(run.task().job().value(), 0.0);
   }
 
-  /** Lets time pass: ends what is done, kills everything when the lease lapses. */
+  /**
+   * Advances the virtual time: ends runs that are done, and kills all runs when the lease expires.
+   */
   void advance(long now, boolean fails) {
-    Iterator<Held> held = List.copyOf(running.values()).iterator();
-    boolean lapsed = clock(now) > leaseEndMillis;
-    held.forEachRemaining(
+    Iterator<ActiveRun> runs = List.copyOf(running.values()).iterator();
+    boolean expired = clock(now) > leaseEndMillis;
+    runs.forEachRemaining(
         run -> {
-          if (lapsed || (!stalls && now >= run.doneMillis)) {
+          if (expired || (!stalls && now >= run.doneMillis)) {
             running.remove(run.run);
             barred.merge(run.run.task(), run.run.run(), Math::max);
-            WorkerReport.CompletionStatus how =
-                lapsed ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
-            if (how == WorkerReport.CompletionStatus.DONE) {
+            WorkerReport.CompletionStatus status =
+                expired ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
+            if (status == WorkerReport.CompletionStatus.DONE) {
               done.add(run.run);
             }
-            end(run.run, how);
+            end(run.run, status);
           }
         });
   }
@@ -195,19 +200,19 @@
     return fails ? WorkerReport.CompletionStatus.FAILED : WorkerReport.CompletionStatus.DONE;
   }
 
-  private void end(RunKey run, WorkerReport.CompletionStatus how) {
-    ends++;
-    if (listsNoEnds) {
+  private void end(RunKey run, WorkerReport.CompletionStatus status) {
+    lastCompletion++;
+    if (dropsCompletions) {
       return;
     }
-    ended.add(new WorkerReport.Completion(ends, run.task(), run.run(), how, ""));
+    completions.add(new WorkerReport.Completion(lastCompletion, run.task(), run.run(), status, ""));
   }
 
   boolean runs(TaskName task) {
     return !dead && running.keySet().stream().anyMatch(run -> run.task().equals(task));
   }
 
-  /** Returns what runs here now. */
+  /** Returns the runs in progress. */
   Set<RunKey> runs() {
     return dead ? Set.of() : Set.copyOf(running.keySet());
   }
@@ -217,10 +222,10 @@
   }
 
   Resources used() {
-    return running.values().stream().map(held -> held.need).reduce(Resources.NONE, Resources::plus);
+    return running.values().stream().map(run -> run.need).reduce(Resources.NONE, Resources::plus);
   }
 
-  long acknowledgedEnds() {
+  long lastAcknowledgedCompletion() {
     return acknowledged;
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/TestWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/TestWorker.java
@@ -4,7 +4,7 @@
 import org.cottontack.core.id.DataCentreId;
 import org.cottontack.core.id.WorkerId;
 
-/** Builds workers with tasks at work on them, for tests. */
+/** Builds workers with running tasks for tests. */
 final class TestWorker {
 
   static final double TARGET_MILLIS = 18;
@@ -18,7 +18,7 @@
     return task(id, TestStep.tasks(1).image(image).target(TARGET_MILLIS), StepSpec.Trait.LASTS);
   }
 
-  static Task filling(String id, String image) {
+  static Task bestEffort(String id, String image) {
     Task task = task(id, TestStep.tasks(1).image(image), StepSpec.Trait.FILLS);
     task.load = 4_000;
     return task;
--- a/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
@@ -5,37 +5,37 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of leases that are counted on the clock of a worker. */
+/** Tests of leases that are measured on a worker's clock. */
 public class WorkerClockTest {
 
   /** Ends of leases. */
-  public static class Ends {
+  public static class LeaseEnds {
 
     private static final long READ_MILLIS = 20_000;
     private static final long UNTIL_MILLIS = 30_000;
 
-    private static long end(long clock) {
+    private static long leaseEnd(long clock) {
       WorkerClock seen = new WorkerClock();
       seen.observe(clock, READ_MILLIS);
       return seen.leaseEnd(UNTIL_MILLIS);
     }
 
     /**
-     * A worker's clock is 2 % slow. Counted on an even clock its lease of 10 s would last 0.2 s
-     * longer than the next leader waits, and a task could run twice for that time.
+     * Guards against a task that runs twice because its worker's clock is 2 % slow. Without a
+     * correction its lease of 10 s would last 0.2 s longer than the next leader waits.
      */
     @Test
     public void slowClocksEndLeasesInTime() {
       long atUntil = 500 + 9_800;
-      assertTrue(end(500) <= atUntil, "ends " + (end(500) - atUntil) + " ms late");
+      assertTrue(leaseEnd(500) <= atUntil, "ends " + (leaseEnd(500) - atUntil) + " ms late");
     }
 
     @Test
     public void exactClocksLoseTwoPercent() {
-      assertEquals(end(500), 500 + 9_800);
+      assertEquals(leaseEnd(500), 500 + 9_800);
     }
 
-    /** A shorter lease after a longer one does not end what the longer one keeps alive. */
+    /** A shorter lease does not end an earlier, longer one. */
     @Test
     public void theLatestEndCounts() {
       WorkerClock seen = new WorkerClock();
