--- a/core/src/main/java/org/cottontack/core/fleet/EndpointView.java
+++ b/core/src/main/java/org/cottontack/core/fleet/EndpointView.java
@@ -68,10 +68,10 @@
   }
 
   /** Returns this view after a whole answer. */
-  public EndpointView answered(AttemptId attempt, long millis, boolean good) {
+  public EndpointView answered(AttemptId attempt, long millis, boolean succeeded) {
     double mean = meanMillis + MEAN_GAIN * (millis - meanMillis);
     EndpointView freed = withBusy(busy.minus(attempt)).withMean(mean);
-    return good ? freed.withHealth(0, 0) : freed;
+    return succeeded ? freed.withHealth(0, 0) : freed;
   }
 
   /** Returns this view after an attempt of which nothing was sent. */
@@ -100,18 +100,19 @@
    *
    * @param running the attempts it listed
    * @param lastSent attempts last known before this time cannot be on the wire any more
-   * @param awaited whether an answer for an attempt is still to come, so that it keeps its slot
+   * @param awaitsAnswer whether an answer for an attempt is still to come, so that it keeps its
+   *     slot
    * @param now monotonic time of the report
    */
   EndpointView reported(
-      Set<AttemptId> running, long lastSent, Predicate<AttemptId> awaited, long now) {
+      Set<AttemptId> running, long lastSent, Predicate<AttemptId> awaitsAnswer, long now) {
     PMap<AttemptId, Long> next = busy;
     for (var entry : busy.entrySet()) {
-      boolean over =
+      boolean finished =
           entry.getValue() < lastSent
               && !running.contains(entry.getKey())
-              && !awaited.test(entry.getKey());
-      next = over ? next.minus(entry.getKey()) : next;
+              && !awaitsAnswer.test(entry.getKey());
+      next = finished ? next.minus(entry.getKey()) : next;
     }
     for (AttemptId attempt : running) {
       next = next.containsKey(attempt) ? next : next.plus(attempt, now);
--- a/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
@@ -144,11 +144,11 @@
 
   private static boolean needsProbe(State state, EndpointView endpoint, boolean open) {
     boolean gaining = open && !endpoint.held() && state.ownership().owns(name(endpoint));
-    boolean uncertain =
+    boolean inDoubt =
         endpoint.held()
             && endpoint.busy().keySet().stream()
                 .anyMatch(attempt -> !state.requests().awaits(attempt));
-    return gaining || uncertain;
+    return gaining || inDoubt;
   }
 
   private static Step endpointReported(State state, FleetEvent.EndpointReported event) {
--- a/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
+++ b/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
@@ -146,8 +146,8 @@
   }
 
   /** Returns this view after a task ended here. */
-  public WorkerView taskEnded(boolean good, long now) {
-    int count = good ? 0 : failures + 1;
+  public WorkerView taskEnded(boolean succeeded, long now) {
+    int count = succeeded ? 0 : failures + 1;
     int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, count - FAILURES_TO_QUARANTINE));
     long until = count >= FAILURES_TO_QUARANTINE ? now + (QUARANTINE_MILLIS << doublings) : 0;
     return new WorkerView(
--- a/core/src/main/java/org/cottontack/core/ownership/AssignmentRecord.java
+++ b/core/src/main/java/org/cottontack/core/ownership/AssignmentRecord.java
@@ -29,9 +29,9 @@
   }
 
   /** Returns the next epoch without some members. */
-  public AssignmentRecord without(Iterable<InstanceId> gone) {
+  public AssignmentRecord without(Iterable<InstanceId> removed) {
     Map<InstanceId, Long> next = new TreeMap<>(members);
-    gone.forEach(next::remove);
+    removed.forEach(next::remove);
     return new AssignmentRecord(epoch + 1, next);
   }
 }
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipReducer.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipReducer.java
@@ -55,7 +55,7 @@
     }
     long wait = state.settings().leaseMillis() / BEATS_PER_LEASE;
     return renew(state)
-        .then(Promises::askWhenStoreIsAway)
+        .then(Promises::askWhenStoreUnavailable)
         .then(OwnershipReducer::observe)
         .with(new Effect.After(wait, event));
   }
@@ -118,32 +118,32 @@
     if (old.phase() == OwnershipPhase.LEAVING) {
       return left(state, true);
     }
-    InstanceId fresh = successor(old.self());
-    OwnershipState own = OwnershipState.EMPTY.copy().self(fresh).build();
+    InstanceId newSelf = nextIncarnation(old.self());
+    OwnershipState own = OwnershipState.EMPTY.copy().self(newSelf).build();
     return Step.of(
             state.with(own),
-            new Effect.Note("ownership.lost", old.self().value(), "joins again as " + fresh),
+            new Effect.Note("ownership.lost", old.self().value(), "joins again as " + newSelf),
             new Effect.Raise(new OwnershipEvent.EpochSeen()))
         .then(OwnershipReducer::renew);
   }
 
-  private static InstanceId successor(InstanceId old) {
-    int mark = old.value().lastIndexOf('~');
-    int generation = mark < 0 ? 1 : Integer.parseInt(old.value().substring(mark + 1));
-    String stem = mark < 0 ? old.value() : old.value().substring(0, mark);
-    return new InstanceId(stem + "~" + (generation + 1));
+  private static InstanceId nextIncarnation(InstanceId old) {
+    int separator = old.value().lastIndexOf('~');
+    int generation = separator < 0 ? 1 : Integer.parseInt(old.value().substring(separator + 1));
+    String baseName = separator < 0 ? old.value() : old.value().substring(0, separator);
+    return new InstanceId(baseName + "~" + (generation + 1));
   }
 
   private static Step scanned(State state, StoreEvent.Scanned event) {
     if (!(event.purpose() instanceof OwnershipPurpose.Observe)) {
       return Step.of(state);
     }
-    return look(state, event.rows())
+    return applySnapshot(state, event.rows())
         .then(OwnershipReducer::passBarrier)
         .then(OwnershipReducer::propose);
   }
 
-  private static Step look(State state, List<StoreRow> rows) {
+  private static Step applySnapshot(State state, List<StoreRow> rows) {
     OwnershipState before = state.ownership();
     StoreKey key = StoreKey.assignment(state.settings().dataCentre());
     StoreRow row =
@@ -216,22 +216,22 @@
     if (own.phase() == OwnershipPhase.JOINING) {
       return reassign(state, own.assignment().joinedBy(own.self()), List.of());
     }
-    List<InstanceId> ended =
+    List<InstanceId> revoked =
         own.others().stream().filter(member -> Revocation.allowed(state, member)).toList();
-    return ended.isEmpty()
+    return revoked.isEmpty()
         ? Step.of(state)
-        : reassign(state, own.assignment().without(ended), ended);
+        : reassign(state, own.assignment().without(revoked), revoked);
   }
 
-  private static Step reassign(State state, AssignmentRecord next, List<InstanceId> ended) {
+  private static Step reassign(State state, AssignmentRecord next, List<InstanceId> revoked) {
     OwnershipState own = state.ownership();
     StoreKey key = StoreKey.assignment(state.settings().dataCentre());
     List<Mutation> mutations =
         new ArrayList<>(List.of(Mutation.put(key, own.assignmentVersion(), next)));
-    ended.forEach(member -> mutations.add(revocation(state, member)));
+    revoked.forEach(member -> mutations.add(revocation(state, member)));
     return Step.of(
         state.with(own.copy().reassigning(true).build()),
-        new Effect.Note("ownership.propose", "" + next.epoch(), "removes " + ended),
+        new Effect.Note("ownership.propose", "" + next.epoch(), "removes " + revoked),
         new Effect.Raise(new StoreEvent.Submit(mutations, new OwnershipPurpose.Reassign())));
   }
 
--- a/core/src/main/java/org/cottontack/core/ownership/Promises.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Promises.java
@@ -19,10 +19,10 @@
 
   private Promises() {}
 
-  static Step askWhenStoreIsAway(State state) {
+  static Step askWhenStoreUnavailable(State state) {
     OwnershipState own = state.ownership();
-    boolean away = state.store().unavailable() && own.renewalSent() >= 0;
-    if (!away || own.others().isEmpty() || own.joinEpoch() == 0) {
+    boolean coverNeeded = state.store().unavailable() && own.renewalSent() >= 0;
+    if (!coverNeeded || own.others().isEmpty() || own.joinEpoch() == 0) {
       return Step.of(state);
     }
     PSet<InstanceId> open = HashTreePSet.from(own.others());
@@ -38,15 +38,15 @@
 
   static Step received(State state, PeerEvent.Received event) {
     if (event.message() instanceof PeerMessage.PromiseAsk ask) {
-      return asked(state, event, ask);
+      return answerAsk(state, event, ask);
     }
     if (event.message() instanceof PeerMessage.PromiseGiven given) {
-      return granted(state, event.from(), given);
+      return recordPromise(state, event.from(), given);
     }
     return Step.of(state);
   }
 
-  private static Step asked(State state, PeerEvent.Received event, PeerMessage.PromiseAsk ask) {
+  private static Step answerAsk(State state, PeerEvent.Received event, PeerMessage.PromiseAsk ask) {
     OwnershipState own = state.ownership();
     boolean sameEpoch =
         ask.epoch() == own.assignment().epoch()
@@ -64,7 +64,7 @@
             event.address(), new PeerMessage.PromiseGiven(ask.epoch(), ask.round())));
   }
 
-  private static Step granted(State state, InstanceId from, PeerMessage.PromiseGiven given) {
+  private static Step recordPromise(State state, InstanceId from, PeerMessage.PromiseGiven given) {
     OwnershipState own = state.ownership();
     boolean current = given.round() == own.round() && given.epoch() == own.assignment().epoch();
     if (!current || !own.roundOpen().contains(from)) {
--- a/core/src/main/java/org/cottontack/core/ownership/Revocation.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Revocation.java
@@ -29,7 +29,7 @@
     if (now < lease.since() + wait || now < own.given().getOrDefault(member, 0L)) {
       return false;
     }
-    return mustAskThis(own, lease)
+    return mustAskThisInstance(own, lease)
         || anotherRefuses(own, member, lease, now - wait)
         || now >= lease.since() + settings.cutHorizon() + wait;
   }
@@ -39,7 +39,7 @@
     return lease.record() != null && lease.record().address().equals(settings.address());
   }
 
-  private static boolean mustAskThis(OwnershipState own, ObservedLease lease) {
+  private static boolean mustAskThisInstance(OwnershipState own, ObservedLease lease) {
     return lease.ackedEpoch() >= own.joinEpoch();
   }
 
--- a/core/src/main/java/org/cottontack/core/request/Claiming.java
+++ b/core/src/main/java/org/cottontack/core/request/Claiming.java
@@ -125,10 +125,10 @@
         purpose -> purpose instanceof Claim claim && claim.request().equals(request.id());
     Step step =
         RequestReducer.finish(state, request, Answer.of(Code.STORE_AWAY, IN_DOUBT_RETRY_MILLIS));
-    if (state.store().waits(mine)) {
+    if (state.store().hasWaiting(mine)) {
       return step.then(s -> Step.of(s.with(s.store().withdraw(mine))));
     }
-    return state.store().sends(mine)
+    return state.store().hasInFlight(mine)
         ? step.then(s -> Step.of(s.with(s.requests().abandon(request))))
         : step;
   }
--- a/core/src/main/java/org/cottontack/core/store/StoreReducer.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreReducer.java
@@ -84,20 +84,20 @@
 
   private static PVector<Write> choose(
       PVector<Write> waiting, List<Write> chosen, Set<StoreKey> rows) {
-    List<Write> left = new ArrayList<>();
+    List<Write> remaining = new ArrayList<>();
     for (Write write : waiting) {
       boolean fits = chosen.size() < MAX_BATCH && write.keys().noneMatch(rows::contains);
       write.keys().forEach(rows::add);
-      (fits ? chosen : left).add(write);
+      (fits ? chosen : remaining).add(write);
     }
-    return TreePVector.from(left);
+    return TreePVector.from(remaining);
   }
 
   private static Step committed(State state, StoreEvent.Committed event) {
-    return event.batch() == state.store().batch() ? settleAll(state) : Step.of(state);
+    return event.batch() == state.store().batch() ? resolveAsApplied(state) : Step.of(state);
   }
 
-  private static Step settleAll(State state) {
+  private static Step resolveAsApplied(State state) {
     List<Write> sent = state.store().sent();
     return Step.fold(
             answered(state),
@@ -119,28 +119,28 @@
     }
     // An answer lost after the transaction took effect shows here as a conflict with ourselves.
     // The transaction is all or nothing, so one row with our write id proves that all took effect.
-    boolean ours =
+    boolean alreadyApplied =
         store.sent().stream()
             .anyMatch(
                 write ->
                     event.current().stream().anyMatch(r -> r.writeId().equals(write.writeId())));
-    return ours ? settleAll(state) : settleConflicts(state, event.current());
+    return alreadyApplied ? resolveAsApplied(state) : resolveConflicts(state, event.current());
   }
 
-  private static Step settleConflicts(State state, List<StoreRow> current) {
-    List<Write> again = new ArrayList<>();
+  private static Step resolveConflicts(State state, List<StoreRow> current) {
+    List<Write> toResend = new ArrayList<>();
     List<Effect> effects = new ArrayList<>();
     for (Write write : state.store().sent()) {
-      List<StoreRow> own =
+      List<StoreRow> conflicts =
           current.stream().filter(row -> write.keys().anyMatch(row.key()::equals)).toList();
-      if (own.isEmpty()) {
-        again.add(write);
+      if (conflicts.isEmpty()) {
+        toResend.add(write);
       } else {
-        effects.add(new Effect.Raise(new StoreEvent.Settled(write.purpose(), false, own)));
+        effects.add(new Effect.Raise(new StoreEvent.Settled(write.purpose(), false, conflicts)));
       }
     }
     State next = answered(state);
-    next = next.with(next.store().requeueFirst(again));
+    next = next.with(next.store().requeueFirst(toResend));
     return new Step(next, effects).then(StoreReducer::schedule);
   }
 
--- a/core/src/main/java/org/cottontack/core/store/StoreState.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreState.java
@@ -43,21 +43,21 @@
   }
 
   /** Returns whether a write for such a purpose waits and has never been sent. */
-  public boolean waits(Predicate<Purpose> wanted) {
-    return Stream.concat(urgent.stream(), ordinary.stream()).map(Write::purpose).anyMatch(wanted);
+  public boolean hasWaiting(Predicate<Purpose> filter) {
+    return Stream.concat(urgent.stream(), ordinary.stream()).map(Write::purpose).anyMatch(filter);
   }
 
   /** Returns whether a write for such a purpose is under way. */
-  public boolean sends(Predicate<Purpose> wanted) {
-    return sent.stream().map(Write::purpose).anyMatch(wanted);
+  public boolean hasInFlight(Predicate<Purpose> filter) {
+    return sent.stream().map(Write::purpose).anyMatch(filter);
   }
 
   /** Returns this state without the waiting writes for such a purpose. */
-  public StoreState withdraw(Predicate<Purpose> unwanted) {
-    Predicate<Write> same = write -> unwanted.test(write.purpose());
+  public StoreState withdraw(Predicate<Purpose> filter) {
+    Predicate<Write> matches = write -> filter.test(write.purpose());
     return new StoreState(
-        without(urgent, same),
-        without(ordinary, same),
+        without(urgent, matches),
+        without(ordinary, matches),
         sent,
         batch,
         nextWrite,
@@ -67,10 +67,10 @@
   }
 
   StoreState enqueue(Write write) {
-    boolean first = write.purpose().urgent();
+    boolean isUrgent = write.purpose().urgent();
     return new StoreState(
-        first ? urgent.plus(write) : urgent,
-        first ? ordinary : ordinary.plus(write),
+        isUrgent ? urgent.plus(write) : urgent,
+        isUrgent ? ordinary : ordinary.plus(write),
         sent,
         batch,
         nextWrite + 1,
@@ -110,7 +110,7 @@
         flushPending);
   }
 
-  private static PVector<Write> without(PVector<Write> writes, Predicate<Write> unwanted) {
-    return writes.minusAll(writes.stream().filter(unwanted).toList());
+  private static PVector<Write> without(PVector<Write> writes, Predicate<Write> filter) {
+    return writes.minusAll(writes.stream().filter(filter).toList());
   }
 }
--- a/core/src/main/java/org/cottontack/core/table/TableCheck.java
+++ b/core/src/main/java/org/cottontack/core/table/TableCheck.java
@@ -22,8 +22,8 @@
     Set<TeamId> teams = table.teams().stream().map(TeamSpec::name).collect(Collectors.toSet());
     return Stream.of(
             hours(table),
-            repeated("team", table.teams(), team -> team.name().value()),
-            repeated("row", table.rows(), row -> row.name().value()),
+            duplicates("team", table.teams(), team -> team.name().value()),
+            duplicates("row", table.rows(), row -> row.name().value()),
             table.teams().stream().flatMap(TableCheck::team),
             table.rows().stream().flatMap(row -> row(row, teams)))
         .flatMap(Function.identity())
@@ -36,7 +36,7 @@
         range("table", "nightToHour", table.nightToHour(), 0, 23));
   }
 
-  private static <T> Stream<TableFault> repeated(
+  private static <T> Stream<TableFault> duplicates(
       String kind, List<T> items, Function<T, String> name) {
     return items.stream()
         .collect(Collectors.groupingBy(name, Collectors.counting()))
@@ -99,11 +99,11 @@
   }
 
   private static Stream<TableFault> range(
-      String place, String column, long value, long least, long most) {
-    return value >= least && value <= most
+      String place, String column, long value, long min, long max) {
+    return value >= min && value <= max
         ? Stream.empty()
         : Stream.of(
             new TableFault(
-                place, column, "%d is not between %d and %d".formatted(value, least, most)));
+                place, column, "%d is not between %d and %d".formatted(value, min, max)));
   }
 }
--- a/core/src/main/java/org/cottontack/core/table/TableContent.java
+++ b/core/src/main/java/org/cottontack/core/table/TableContent.java
@@ -53,11 +53,11 @@
 
   /** Returns the names of rows that differ between this content and another, sorted. */
   public List<RowName> changedRows(TableContent other) {
-    Map<RowName, RowSpec> mine = byName();
-    Map<RowName, RowSpec> theirs = other.byName();
-    return Stream.concat(mine.keySet().stream(), theirs.keySet().stream())
+    Map<RowName, RowSpec> ownRows = byName();
+    Map<RowName, RowSpec> otherRows = other.byName();
+    return Stream.concat(ownRows.keySet().stream(), otherRows.keySet().stream())
         .distinct()
-        .filter(name -> !Objects.equals(mine.get(name), theirs.get(name)))
+        .filter(name -> !Objects.equals(ownRows.get(name), otherRows.get(name)))
         .sorted()
         .toList();
   }
--- a/core/src/main/java/org/cottontack/core/table/TableReducer.java
+++ b/core/src/main/java/org/cottontack/core/table/TableReducer.java
@@ -24,9 +24,9 @@
 
   private TableReducer() {}
 
-  private record Look() implements Purpose {}
+  private record ReadPointer() implements Purpose {}
 
-  private record Read() implements Purpose {}
+  private record ReadContent() implements Purpose {}
 
   private record Compare(Edit edit) implements Purpose {}
 
@@ -45,11 +45,11 @@
   }
 
   private static Step poll(State state, TableEvent.Poll event) {
-    return read(state).with(new Effect.After(POLL_MILLIS, event));
+    return readPointer(state).with(new Effect.After(POLL_MILLIS, event));
   }
 
-  private static Step read(State state) {
-    return Step.of(state, new StoreEffect.Scan(StoreKey.table().value(), new Look()));
+  private static Step readPointer(State state) {
+    return Step.of(state, new StoreEffect.Scan(StoreKey.table().value(), new ReadPointer()));
   }
 
   private static Step readContent(State state, long version, Purpose purpose) {
@@ -63,7 +63,7 @@
   }
 
   private static Step newerKnown(State state, TableEvent.NewerKnown event) {
-    return event.version() > state.table().version() ? read(state) : Step.of(state);
+    return event.version() > state.table().version() ? readPointer(state) : Step.of(state);
   }
 
   private static Step editAsked(State state, TableEvent.EditAsked event) {
@@ -133,12 +133,12 @@
   }
 
   private static Step scanned(State state, StoreEvent.Scanned event) {
-    if (event.purpose() instanceof Look) {
+    if (event.purpose() instanceof ReadPointer) {
       return event.rows().stream()
           .map(StoreRow::value)
           .flatMap(TableReducer::pointer)
           .findFirst()
-          .map(pointer -> looked(state, pointer))
+          .map(pointer -> pointerRead(state, pointer))
           .orElseGet(() -> Step.of(state));
     }
     TableRecord seen =
@@ -150,16 +150,16 @@
     if (event.purpose() instanceof Compare compare) {
       return stale(state, compare.edit(), seen);
     }
-    return event.purpose() instanceof Read ? adopt(state, seen) : Step.of(state);
+    return event.purpose() instanceof ReadContent ? adopt(state, seen) : Step.of(state);
   }
 
-  private static Step looked(State state, TablePointer pointer) {
+  private static Step pointerRead(State state, TablePointer pointer) {
     long known = state.table().version();
     if (pointer.version() == known) {
       return Step.of(state.with(new TableState(state.table().record(), state.mono())));
     }
     return pointer.version() > known
-        ? readContent(state, pointer.version(), new Read())
+        ? readContent(state, pointer.version(), new ReadContent())
         : Step.of(state);
   }
 
--- a/core/src/main/java/org/cottontack/core/task/Tickets.java
+++ b/core/src/main/java/org/cottontack/core/task/Tickets.java
@@ -186,7 +186,7 @@
   static Step expired(State state, TaskEvent.TicketExpired event) {
     Predicate<Purpose> mine =
         purpose -> purpose instanceof TicketPurpose ticketed && ticketed.ticket() == event.ticket();
-    return state.store().waits(mine)
+    return state.store().hasWaiting(mine)
         ? answer(
             state.with(state.store().withdraw(mine)),
             event.ticket(),
--- a/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
+++ b/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
@@ -51,7 +51,7 @@
       return node.state().fleet().ownedWorkers().count();
     }
 
-    void assertNothingBroken() {
+    void assertNoViolations() {
       assertEquals(lab.violations(), List.of());
     }
   }
@@ -73,7 +73,7 @@
       lab.until("the third took a share", () -> slots(third) + workers(third) > 0);
       lab.until("all is owned", () -> slots(first) + slots(second) + slots(third) == 8);
       assertEquals(workers(first) + workers(second) + workers(third), 4);
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 
@@ -85,13 +85,13 @@
      * other removes it, waits until old orders have expired and reads what endpoints run.
      */
     @Test
-    public void theOtherTakesOver() {
+    public void survivorTakesOver() {
       first.kill();
       lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
       RequestId id = lab.request(second, "check", "", "after", 0);
       lab.until("an answer", () -> second.answers.containsKey(id));
       assertEquals(second.answers.get(id).code(), Code.OK);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -106,7 +106,7 @@
       Node fourth = lab.start("b:1");
       lab.run(Lab.LEASE);
       assertEquals(slots(third) + slots(fourth), 8);
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 
@@ -119,7 +119,7 @@
      * before each, and its next renewal fails because the row is gone.
      */
     @Test
-    public void theSleeperGivesNoOrderAndJoinsAnew() {
+    public void resumedOwnerGivesNoOrderAndRejoins() {
       final InstanceId old = first.state().ownership().self();
       first.pause();
       lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
@@ -132,7 +132,7 @@
       lab.run(20_000);
       assertNotEquals(first.state().ownership().self(), old);
       assertEquals(slots(first) + slots(second), 8);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -158,12 +158,12 @@
       lab.releaseOrders();
       first.resume();
       lab.run(20_000);
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 
   /** The store is away or out of reach. */
-  public static final class StoreAway extends TwoInstances {
+  public static final class StoreUnavailable extends TwoInstances {
 
     /**
      * Callers of idempotent rows are served through an outage longer than many leases. Neither
@@ -184,7 +184,7 @@
       second.storeUp = true;
       lab.run(10_000);
       assertTrue(lab.taskRuns("long"));
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /** Beyond the horizon nobody may act any more: a process outside the epoch waits just that. */
@@ -197,7 +197,7 @@
       RequestId id = lab.request(first, "check", "", "too late", 0);
       lab.run(2_500);
       assertEquals(first.answers.get(id).code().ran(), Ran.NOT_RUN);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -217,7 +217,7 @@
       }
       lab.run(Lab.HORIZON + 3 * Lab.LEASE);
       assertEquals(slots(fresh), 8);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -225,7 +225,7 @@
      * within its lease, refuse truthfully, and the other takes over.
      */
     @Test
-    public void oneCutOffFromAllStopsInTime() {
+    public void isolatedInstanceStopsWithinItsLease() {
       first.storeUp = false;
       first.networkUp = false;
       lab.until("the other owns everything", () -> slots(second) == 8);
@@ -233,12 +233,12 @@
       RequestId id = lab.request(first, "check", "", "cut", 0);
       lab.run(2_500);
       assertEquals(first.answers.get(id).code().ran(), Ran.NOT_RUN);
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 
   /** Cuts between some instances and the store or each other. */
-  public static final class PartialCuts extends TwoInstances {
+  public static final class PartialPartitions extends TwoInstances {
 
     /**
      * One endpoint, two owners. The first has lost the store and lives on the promise of the
@@ -254,7 +254,7 @@
       }
       assertTrue(first.state().ownership().mayAct(first.state().mono()));
       assertTrue(slots(first) > 0 && slots(second) > 0 && slots(first) + slots(second) == 8);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -275,7 +275,7 @@
         }
         lab.run(40);
       }
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -284,11 +284,11 @@
      * they can be under way.
      */
     @Test
-    public void requestsOnTheWireAreWaitedFor() {
+    public void newOwnerWaitsForRequestsInTransit() {
       for (int offset = 0; offset < 600; offset += 40) {
         start();
         lab.run(offset);
-        changeHandsWithOrdersOnTheWire();
+        changeOwnerWithRequestsInTransit();
       }
     }
 
@@ -307,7 +307,7 @@
       assertTrue(third.state().mono() - passed >= 500);
     }
 
-    private void changeHandsWithOrdersOnTheWire() {
+    private void changeOwnerWithRequestsInTransit() {
       first.orderDelay = 490;
       second.orderDelay = 490;
       endpoints.forEach(endpoint -> endpoint.millis = 300);
@@ -319,7 +319,7 @@
         lab.run(5);
       }
       assertTrue(slots(third) > 0);
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 
@@ -339,7 +339,7 @@
       lab.until("it has left", () -> lab.store().scan("own/dc/lease/a:1").isEmpty());
       assertEquals(first.answers.get(id).code(), Code.OK);
       lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -369,7 +369,7 @@
       assertEquals(
           first.answers.values().stream().filter(a -> a.code().ran() == Ran.UNKNOWN).toList(),
           List.of());
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /** Tasks go on running while their owner is replaced. */
@@ -386,7 +386,7 @@
   }
 
   /** Workers that are owned by a process that died before it told them anything. */
-  public static final class Orphans extends TwoInstances {
+  public static final class WorkerHandover extends TwoInstances {
 
     /**
      * A task was recorded as placed, and its owner died before the start order left. The successor
@@ -408,7 +408,7 @@
       assertEquals(lab.task("t").attempt(), 2);
       lab.releaseOrders();
       lab.run(5_000);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
@@ -425,12 +425,12 @@
       first.kill();
       lab.until("the other owns everything", () -> workers(second) == 4);
       lab.run(10_000);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /** A worker added later is taken up without a change of members. */
     @Test
-    public void newWorkersAreTakenUp() {
+    public void newWorkersAreAcquired() {
       FakeWorker added = lab.worker("w9", 64);
       lab.until("it is owned", () -> workers(first) + workers(second) == 5);
       assertEquals(added.started(), List.of());
--- a/core/src/test/java/org/cottontack/core/table/TableTest.java
+++ b/core/src/test/java/org/cottontack/core/table/TableTest.java
@@ -47,7 +47,7 @@
 
     /** An accepted edit reaches every instance within seconds. */
     @Test
-    public void spreads() {
+    public void reachesEveryInstance() {
       edit(first, 1, 1, 7);
       lab.run(3_000);
       assertEquals(first.edits.get(1L).verdict(), TableEffect.Verdict.ACCEPTED);
@@ -60,7 +60,7 @@
      * who came first and which rows differ, and nothing of the loser is in force.
      */
     @Test
-    public void oneOfTwoWins() {
+    public void oneOfTwoConcurrentEditsWins() {
       edit(first, 1, 1, 7);
       edit(second, 2, 1, 8);
       lab.run(3_000);
@@ -75,7 +75,7 @@
 
     /** The answer to an accepted edit is lost; it is still accepted once and said so. */
     @Test
-    public void lostAnswerIsNoSecondEdit() {
+    public void lostAnswerDoesNotRepeatTheEdit() {
       first.storeAnswers = false;
       edit(first, 1, 1, 7);
       lab.run(1_000);
@@ -87,7 +87,7 @@
 
     /** A table with faults is refused whole and every fault is named. */
     @Test
-    public void faultsAreNamed() {
+    public void everyFaultIsReported() {
       edit(first, 1, 1, 0);
       TableEffect.EditAnswered answer = first.edits.get(1L);
       assertEquals(answer.verdict(), TableEffect.Verdict.INVALID);
@@ -97,11 +97,11 @@
   }
 
   /** Cuts and fresh processes. */
-  public static final class Cuts extends TwoInstances {
+  public static final class Partitions extends TwoInstances {
 
     /** A cut-off instance keeps its last version, knows its age, and catches up afterwards. */
     @Test
-    public void cutOffInstanceCatchesUp() {
+    public void partitionedInstanceCatchesUp() {
       second.storeUp = false;
       second.networkUp = false;
       edit(first, 1, 1, 7);
