--- a/core/src/main/java/org/cottontack/core/fleet/EndpointView.java
+++ b/core/src/main/java/org/cottontack/core/fleet/EndpointView.java
@@ -8,17 +8,18 @@
 import org.pcollections.PMap;
 
 /**
- * An endpoint as its owner sees it.
+ * The state of an endpoint in this process.
  *
  * @param id the endpoint
  * @param address {@code host:port}
- * @param slots requests it can run at once
- * @param leaving whether it is to receive no new work
- * @param held whether this process owns it and has read what it runs
- * @param busy attempts that may be running there, with the monotonic time each was last known to be
- * @param meanMillis moving mean of its answer times
- * @param failures failures in a row
- * @param ejectedUntil monotonic time until which it receives nothing because it failed
+ * @param slots number of requests that it can run concurrently
+ * @param leaving whether it must receive no new work
+ * @param held whether this process owns it and has read which attempts it runs
+ * @param busy attempts that may be running there, each with the monotonic time at which it was last
+ *     known to run
+ * @param meanMillis exponential moving average of its response times
+ * @param failures number of consecutive failures
+ * @param ejectedUntil monotonic time until which it receives no requests, because of failures
  */
 public record EndpointView(
     EndpointId id,
@@ -38,7 +39,7 @@
   private static final long MAX_EJECTION_MILLIS = 30_000;
   private static final int MAX_DOUBLINGS = 5;
 
-  /** Returns the view of an endpoint that was just listed. */
+  /** Returns the initial state of an endpoint that appeared in the platform's list. */
   static EndpointView listed(MemberInfo info) {
     return new EndpointView(
         new EndpointId(info.name()),
@@ -52,42 +53,45 @@
         0);
   }
 
-  /** Returns slots that can be given work at this time. */
+  /** Returns the number of slots that can receive work at the given time. */
   public int free(long now) {
     return held && !leaving && now >= ejectedUntil ? Math.max(0, slots - busy.size()) : 0;
   }
 
-  /** Returns the expected time of one more request here, for comparing endpoints. */
+  /** Returns the expected time of one more request here, used to compare endpoints. */
   public double cost() {
     return meanMillis * (busy.size() + 1) / Math.max(1, slots);
   }
 
-  /** Returns this view with one more attempt running. */
+  /** Returns this state with one more attempt running. */
   public EndpointView started(AttemptId attempt, long now) {
     return withBusy(busy.plus(attempt, now));
   }
 
-  /** Returns this view after a whole answer. */
+  /** Returns this state after a complete response. */
   public EndpointView answered(AttemptId attempt, long millis, boolean succeeded) {
     double mean = meanMillis + MEAN_GAIN * (millis - meanMillis);
     EndpointView freed = withBusy(busy.minus(attempt)).withMean(mean);
     return succeeded ? freed.withHealth(0, 0) : freed;
   }
 
-  /** Returns this view after an attempt of which nothing was sent. */
+  /** Returns this state without an attempt of which nothing was sent. */
   public EndpointView neverSent(AttemptId attempt) {
     return withBusy(busy.minus(attempt));
   }
 
   /**
-   * Returns this view after an attempt without an answer. It may still run, so its slot stays taken
-   * until a report that was asked for later does not list it.
+   * Returns this state after an attempt without a response. The attempt may still be running, so
+   * its slot stays occupied until a report requested later does not list it.
    */
   public EndpointView lost(AttemptId attempt, long now) {
     return withBusy(busy.plus(attempt, now));
   }
 
-  /** Returns this view with one more failure in a row counted. */
+  /**
+   * Returns this state with one more consecutive failure. From the third on, the endpoint is
+   * ejected, for a time that doubles with each failure up to the maximum.
+   */
   public EndpointView failed(long now) {
     int count = failures + 1;
     int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, count - FAILURES_TO_EJECT));
@@ -96,12 +100,12 @@
   }
 
   /**
-   * Returns this view after the endpoint told what it was running.
+   * Returns this state after the endpoint reported which attempts it runs.
    *
    * @param running the attempts it listed
-   * @param lastSent attempts last known before this time cannot be on the wire any more
-   * @param awaitsAnswer whether an answer for an attempt is still to come, so that it keeps its
-   *     slot
+   * @param lastSent attempts last known to run before this time can no longer be in transit
+   * @param awaitsAnswer whether this process still expects an answer for an attempt, which then
+   *     keeps its slot
    * @param now monotonic time of the report
    */
   EndpointView reported(
@@ -120,6 +124,7 @@
     return withBusy(next);
   }
 
+  /** Returns this state updated from the platform's list. */
   EndpointView relisted(MemberInfo info) {
     return new EndpointView(
         id,
--- a/core/src/main/java/org/cottontack/core/fleet/FleetEffect.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetEffect.java
@@ -3,10 +3,10 @@
 import org.cottontack.core.Effect;
 import org.cottontack.core.id.EndpointId;
 
-/** What the core asks about workers and endpoints. */
+/** Requests of the core for information about workers and endpoints. */
 public interface FleetEffect extends Effect {
 
-  /** Asks the platform for its list of instances. */
+  /** Requests the platform's list of instances. */
   record FetchList() implements FleetEffect {}
 
   /**
@@ -14,7 +14,7 @@
    *
    * @param endpoint the endpoint
    * @param address {@code host:port}
-   * @param askedAt monotonic time of asking, comes back with the report
+   * @param askedAt monotonic time of the request, returned with the report
    */
   record ProbeEndpoint(EndpointId endpoint, String address, long askedAt) implements FleetEffect {}
 }
--- a/core/src/main/java/org/cottontack/core/fleet/FleetEvent.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetEvent.java
@@ -10,41 +10,41 @@
 /** Events of workers and endpoints. */
 public interface FleetEvent extends Event {
 
-  /** Time to ask for the platform's list. */
+  /** Timer: requests the platform's list of instances. */
   record ListDue() implements FleetEvent {}
 
-  /** Time to ask endpoints whose contents are not certain. */
+  /** Timer: probes the endpoints of which this process does not know exactly what they run. */
   record ProbeDue() implements FleetEvent {}
 
   /**
-   * The platform's list.
+   * The platform's list arrived.
    *
-   * @param members all instances that run work, of all data centres
+   * @param members all workers and endpoints of all data centres
    */
   record Listed(List<MemberInfo> members) implements FleetEvent {}
 
   /**
-   * An endpoint told what it runs.
+   * An endpoint reported which attempts it runs.
    *
    * @param endpoint the endpoint
-   * @param askedAt monotonic time at which it was asked
+   * @param askedAt monotonic time at which the report was requested
    * @param running the attempts it runs
    */
   record EndpointReported(EndpointId endpoint, long askedAt, Set<AttemptId> running)
       implements FleetEvent {}
 
-  /** Endpoint slots became free or were gained. */
+  /** Endpoint slots became free, or an endpoint was gained. */
   record SlotsFreed() implements FleetEvent {}
 
   /**
-   * A worker became owned; what it should run has to be read from the store.
+   * This process became the owner of a worker and must read the worker's tasks from the store.
    *
    * @param worker the worker
    */
   record WorkerGained(WorkerId worker) implements FleetEvent {}
 
   /**
-   * A worker is no longer owned.
+   * This process no longer owns a worker.
    *
    * @param worker the worker
    */
--- a/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
@@ -13,10 +13,16 @@
 import org.cottontack.core.ownership.OwnershipEvent;
 import org.cottontack.core.ownership.OwnershipState;
 
-/** Follows the platform's list and takes up or releases workers and endpoints with the epochs. */
+/**
+ * Tracks the platform's list of workers and endpoints, and acquires and releases them as the epochs
+ * change.
+ */
 public final class FleetReducer {
 
+  /** Interval between two requests for the platform's list. */
   private static final long LIST_MILLIS = 1_000;
+
+  /** Interval between two rounds of probes. */
   private static final long PROBE_MILLIS = 500;
 
   private FleetReducer() {}
@@ -53,7 +59,10 @@
     return gain(next);
   }
 
-  /** An endpoint missing from the list gets no new work, but what runs there is still awaited. */
+  /**
+   * Updates the endpoints from the list. One that is missing from it gets no new work, but the
+   * answers of the attempts that run there are still awaited.
+   */
   private static State endpoints(State state, List<MemberInfo> listed) {
     Map<EndpointId, MemberInfo> byId = byId(listed, EndpointId::new);
     FleetState fleet = state.fleet();
@@ -87,7 +96,10 @@
         .collect(Collectors.toMap(m -> toId.apply(m.name()), Function.identity(), (a, b) -> b));
   }
 
-  /** Resources another member owns in the new epoch are released before the epoch is answered. */
+  /**
+   * Releases the resources that another member owns in the new epoch. This happens before the epoch
+   * is acknowledged.
+   */
   private static Step release(State state) {
     OwnershipState own = state.ownership();
     Step step = Step.of(state);
@@ -106,6 +118,7 @@
     return step;
   }
 
+  /** Acquires the workers assigned to this process, once the current epoch permits it. */
   private static Step gain(State state) {
     if (!state.ownership().gainsOpen(state.mono())) {
       return Step.of(state);
@@ -142,6 +155,10 @@
     return Step.of(state, probes);
   }
 
+  /**
+   * Returns whether the endpoint is to be acquired, or runs attempts for which no answer is
+   * expected and whose end only a report can show.
+   */
   private static boolean needsProbe(State state, EndpointView endpoint, boolean open) {
     boolean gaining = open && !endpoint.held() && state.ownership().owns(name(endpoint));
     boolean inDoubt =
--- a/core/src/main/java/org/cottontack/core/fleet/FleetState.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetState.java
@@ -7,25 +7,25 @@
 import org.pcollections.PMap;
 
 /**
- * Workers and endpoints of this data centre.
+ * The workers and endpoints of this data centre.
  *
- * @param endpoints by identifier
- * @param workers by identifier
- * @param listedAt monotonic time of the platform's last list, or -1
+ * @param endpoints the endpoints by identifier
+ * @param workers the workers by identifier
+ * @param listedAt monotonic time at which the platform's list last arrived, or -1
  */
 public record FleetState(
     PMap<EndpointId, EndpointView> endpoints, PMap<WorkerId, WorkerView> workers, long listedAt) {
 
-  /** Nothing listed yet. */
+  /** The state before the first list. */
   public static final FleetState EMPTY =
       new FleetState(HashTreePMap.empty(), HashTreePMap.empty(), -1);
 
-  /** Returns endpoint slots this process could use at this time. */
+  /** Returns the number of endpoint slots that this process can use at the given time. */
   public int freeSlots(long now) {
     return endpoints.values().stream().mapToInt(endpoint -> endpoint.free(now)).sum();
   }
 
-  /** Returns endpoint slots of all endpoints this process holds. */
+  /** Returns the total number of slots of the endpoints that this process holds. */
   public int heldSlots() {
     return endpoints.values().stream()
         .filter(EndpointView::held)
@@ -33,17 +33,17 @@
         .sum();
   }
 
-  /** Returns the workers this process owns. */
+  /** Returns the workers that this process owns. */
   public Stream<WorkerView> ownedWorkers() {
     return workers.values().stream().filter(WorkerView::owned);
   }
 
-  /** Returns this state with one endpoint changed. */
+  /** Returns this state with one endpoint added or replaced. */
   public FleetState with(EndpointView endpoint) {
     return new FleetState(endpoints.plus(endpoint.id(), endpoint), workers, listedAt);
   }
 
-  /** Returns this state with one worker changed. */
+  /** Returns this state with one worker added or replaced. */
   public FleetState with(WorkerView worker) {
     return new FleetState(endpoints, workers.plus(worker.id(), worker), listedAt);
   }
--- a/core/src/main/java/org/cottontack/core/fleet/MemberInfo.java
+++ b/core/src/main/java/org/cottontack/core/fleet/MemberInfo.java
@@ -4,15 +4,15 @@
 import org.cottontack.core.task.Demand;
 
 /**
- * An instance as the platform's list gives it; the list lags behind reality.
+ * An entry of the platform's list of instances. The list may be out of date.
  *
  * @param kind worker or endpoint
  * @param name its identifier
- * @param dataCentre where it stands
+ * @param dataCentre the data centre of the instance
  * @param address {@code host:port}
- * @param leaving whether it is to receive no new work
- * @param slots for an endpoint, requests it can run at once
- * @param capacity for a worker, what it can hold
+ * @param leaving whether it must receive no new work
+ * @param slots for an endpoint, the number of requests that it can run concurrently
+ * @param capacity for a worker, its capacity for tasks
  * @param rack for a worker, its rack
  */
 public record MemberInfo(
--- a/core/src/main/java/org/cottontack/core/fleet/MemberKind.java
+++ b/core/src/main/java/org/cottontack/core/fleet/MemberKind.java
@@ -1,6 +1,6 @@
 package org.cottontack.core.fleet;
 
-/** The kinds of instance that run work. */
+/** The kinds of instances that run work. */
 public enum MemberKind {
   /** Runs tasks. */
   WORKER,
--- a/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
+++ b/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
@@ -4,23 +4,24 @@
 import org.cottontack.core.task.Demand;
 
 /**
- * A worker as its owner sees it. Times are monotonic milliseconds.
+ * The state of a worker in this process. Times are monotonic milliseconds.
  *
  * @param id the worker
  * @param address {@code host:port}
- * @param capacity what it can hold
+ * @param capacity its capacity for tasks
  * @param rack its rack
- * @param leaving whether it is to receive no new work
- * @param owned whether this process may give it orders
- * @param ownedSince when it became owned, or -1
- * @param read whether what it runs was read since it became owned
- * @param boot its current boot, empty before the first report
- * @param clockOffset its clock minus this process's clock, as a lower bound
- * @param answeredAt when it last answered
+ * @param leaving whether it must receive no new work
+ * @param owned whether this process owns it and may send it orders
+ * @param ownedSince when this process became its owner, or -1
+ * @param read whether it has reported what it runs since this process became its owner
+ * @param boot identifier of its current boot, empty before the first report
+ * @param clockOffset lower bound of its clock minus this process's clock
+ * @param answeredAt when it last answered, or -1
  * @param polledAt when it was last polled, or -1
- * @param renewSentAt when it was last sent a renewal of its tasks' leases
- * @param failures tasks that failed there in a row
- * @param quarantinedUntil until when it receives no task because everything failed there
+ * @param renewSentAt when the last renewal of its tasks' leases was sent, or when this process
+ *     became its owner, or -1
+ * @param failures number of consecutive tasks that failed there
+ * @param quarantinedUntil time until which it receives no tasks, because of these failures
  */
 public record WorkerView(
     WorkerId id,
@@ -39,18 +40,22 @@
     int failures,
     long quarantinedUntil) {
 
-  /** Renewals stop after this silence, so that the wait for the lapse has a fixed end. */
+  /**
+   * Time without an answer after which the leases of a worker's tasks are no longer renewed, so
+   * that the wait for their expiry has a fixed end.
+   */
   static final long SILENCE_MILLIS = 5_000;
 
   private static final int FAILURES_TO_QUARANTINE = 3;
   private static final long QUARANTINE_MILLIS = 30_000;
   private static final int MAX_DOUBLINGS = 4;
 
-  /** Returns the name under which members share a worker. */
+  /** Returns the resource name of a worker, by which it is assigned to a member. */
   public static String resource(WorkerId worker) {
     return "worker/" + worker;
   }
 
+  /** Returns the initial state of a worker that appeared in the platform's list. */
   static WorkerView listed(MemberInfo info) {
     return new WorkerView(
         new WorkerId(info.name()),
@@ -70,22 +75,22 @@
         0);
   }
 
-  /** Returns whether tasks may be placed here at this time. */
+  /** Returns whether tasks may be placed here at the given time. */
   public boolean takesTasks(long now) {
     return owned && read && !leaving && !silent(now) && now >= quarantinedUntil;
   }
 
-  /** Returns whether it has not answered for so long that its tasks' leases are left to lapse. */
+  /** Returns whether it has not answered for so long that its tasks' leases are left to expire. */
   public boolean silent(long now) {
     return answeredAt < 0 || now - answeredAt > SILENCE_MILLIS;
   }
 
-  /** Returns whether only one task at a time is tried here after a quarantine. */
+  /** Returns whether the worker is limited to one task at a time after a quarantine. */
   public boolean onProbation() {
     return failures >= FAILURES_TO_QUARANTINE;
   }
 
-  /** Returns this view after a report. */
+  /** Returns this state after a report of the worker. */
   public WorkerView answered(String newBoot, long offset, long now) {
     return new WorkerView(
         id,
@@ -105,7 +110,7 @@
         quarantinedUntil);
   }
 
-  /** Returns this view after a poll was sent. */
+  /** Returns this state after a poll was sent. */
   public WorkerView polled(long now) {
     return new WorkerView(
         id,
@@ -125,7 +130,7 @@
         quarantinedUntil);
   }
 
-  /** Returns this view after a renewal was sent. */
+  /** Returns this state after a renewal was sent. */
   public WorkerView renewed(long now) {
     return new WorkerView(
         id,
@@ -145,7 +150,10 @@
         quarantinedUntil);
   }
 
-  /** Returns this view after a task ended here. */
+  /**
+   * Returns this state after a task ended here. The third consecutive failure starts a quarantine,
+   * whose length doubles with each further failure up to the maximum.
+   */
   public WorkerView taskEnded(boolean succeeded, long now) {
     int count = succeeded ? 0 : failures + 1;
     int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, count - FAILURES_TO_QUARANTINE));
@@ -168,6 +176,7 @@
         until);
   }
 
+  /** Returns this state updated from the platform's list. */
   WorkerView relisted(MemberInfo info) {
     return new WorkerView(
         id,
@@ -188,8 +197,9 @@
   }
 
   /**
-   * Returns this view when ownership begins or ends. A new owner counts the silence and the lease
-   * of running tasks from now, as an earlier owner may have renewed them up to this moment.
+   * Returns this state when ownership begins or ends. A new owner measures the time without an
+   * answer and the leases of running tasks from now on, because the previous owner may have renewed
+   * them until this moment.
    */
   WorkerView withOwned(boolean value, long now) {
     return new WorkerView(
--- a/core/src/main/java/org/cottontack/core/fleet/package-info.java
+++ b/core/src/main/java/org/cottontack/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Workers and endpoints as the platform lists them and as they report themselves. */
+/** State of the workers and endpoints, from the platform's list and their own reports. */
 package org.cottontack.core.fleet;
--- a/core/src/main/java/org/cottontack/core/id/AttemptId.java
+++ b/core/src/main/java/org/cottontack/core/id/AttemptId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * One dispatch of a request to an endpoint; unique over all processes.
+ * Identifies one dispatch of a request to an endpoint; unique among all processes.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/CallerId.java
+++ b/core/src/main/java/org/cottontack/core/id/CallerId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A caller, as authenticated or as it names itself.
+ * Identifies a caller, by its authenticated name or the name it sent.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/DataCentreId.java
+++ b/core/src/main/java/org/cottontack/core/id/DataCentreId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A data centre.
+ * Identifies a data centre.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/EndpointId.java
+++ b/core/src/main/java/org/cottontack/core/id/EndpointId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * An endpoint, which runs requests in slots.
+ * Identifies an endpoint, which runs requests in a fixed number of slots.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/Ids.java
+++ b/core/src/main/java/org/cottontack/core/id/Ids.java
@@ -1,6 +1,6 @@
 package org.cottontack.core.id;
 
-/** Checks shared by the value types. */
+/** Argument checks shared by the identifier types. */
 final class Ids {
 
   private Ids() {}
--- a/core/src/main/java/org/cottontack/core/id/InstanceId.java
+++ b/core/src/main/java/org/cottontack/core/id/InstanceId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * One incarnation of an entry instance's process; a restart gets a new one.
+ * Identifies one incarnation of an entry instance; each restart of the process gets a new one.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/RequestId.java
+++ b/core/src/main/java/org/cottontack/core/id/RequestId.java
@@ -1,9 +1,9 @@
 package org.cottontack.core.id;
 
 /**
- * A request as seen by the process that received it.
+ * Identifies a request within the process that received it.
  *
- * @param value a number unique within that process; a later request has a larger one
+ * @param value a number unique within that process; later requests have larger numbers
  */
 public record RequestId(long value) implements Comparable<RequestId> {
 
--- a/core/src/main/java/org/cottontack/core/id/RowName.java
+++ b/core/src/main/java/org/cottontack/core/id/RowName.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A row of the operators' table: a service or a batch class.
+ * Identifies a row of the operators' table: a service or a class of batch tasks.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/TaskId.java
+++ b/core/src/main/java/org/cottontack/core/id/TaskId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A batch task, chosen by its caller or minted on submission.
+ * Identifies a batch task; chosen by the caller or generated on submission.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/TeamId.java
+++ b/core/src/main/java/org/cottontack/core/id/TeamId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A team with a quota.
+ * Identifies a team, which has a quota.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/id/WorkerId.java
+++ b/core/src/main/java/org/cottontack/core/id/WorkerId.java
@@ -1,7 +1,7 @@
 package org.cottontack.core.id;
 
 /**
- * A worker, which runs tasks under leases.
+ * Identifies a worker, which runs tasks under leases.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/ownership/AssignmentRecord.java
+++ b/core/src/main/java/org/cottontack/core/ownership/AssignmentRecord.java
@@ -6,29 +6,30 @@
 import org.cottontack.core.store.StoredValue;
 
 /**
- * The members of a data centre that share its workers and endpoints.
+ * The entry instances of a data centre among which its workers and endpoints are divided. Stored in
+ * the platform's table service.
  *
- * @param epoch counts up by one with each change of members
- * @param members each member with the epoch it joined in
+ * @param epoch incremented by one with each change of members
+ * @param members each member with the epoch in which it joined
  */
 public record AssignmentRecord(long epoch, Map<InstanceId, Long> members) implements StoredValue {
 
   /** No members yet. */
   public static final AssignmentRecord NONE = new AssignmentRecord(0, Map.of());
 
-  /** Keeps the members immutable. */
+  /** Copies the members into an immutable map. */
   public AssignmentRecord {
     members = Map.copyOf(members);
   }
 
-  /** Returns the next epoch with one member more. */
+  /** Returns the assignment of the next epoch, with the instance added. */
   public AssignmentRecord joinedBy(InstanceId instance) {
     Map<InstanceId, Long> next = new TreeMap<>(members);
     next.putIfAbsent(instance, epoch + 1);
     return new AssignmentRecord(epoch + 1, next);
   }
 
-  /** Returns the next epoch without some members. */
+  /** Returns the assignment of the next epoch, without the given members. */
   public AssignmentRecord without(Iterable<InstanceId> removed) {
     Map<InstanceId, Long> next = new TreeMap<>(members);
     removed.forEach(next::remove);
--- a/core/src/main/java/org/cottontack/core/ownership/ObservedLease.java
+++ b/core/src/main/java/org/cottontack/core/ownership/ObservedLease.java
@@ -1,9 +1,9 @@
 package org.cottontack.core.ownership;
 
 /**
- * Another member's lease as this process sees it.
+ * The lease of another member, as read from the store by this process.
  *
- * @param record the row's content, or null for a member without a lease row
+ * @param record the content of the lease row, or null if the member has no lease row
  * @param version the row's version
  * @param since monotonic time at which this version was first seen
  * @param ackSince monotonic time at which its acknowledged epoch was first seen
@@ -14,6 +14,10 @@
     return record == null ? 0 : record.ackedEpoch();
   }
 
+  /**
+   * Returns the observation that follows {@code before}. The times are kept while the version or
+   * the acknowledged epoch is unchanged; otherwise they are set to {@code observedAt}.
+   */
   static ObservedLease next(
       ObservedLease before, LeaseRecord record, long version, long observedAt) {
     if (before == null) {
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipEvent.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipEvent.java
@@ -2,31 +2,34 @@
 
 import org.cottontack.core.Event;
 
-/** Events of leases and epochs. */
+/** Events of the leases and epochs of entry instances. */
 public interface OwnershipEvent extends Event {
 
-  /** Starts to join; the first event of a process. */
+  /** Starts the join procedure; the first event of a process. */
   record Start() implements OwnershipEvent {}
 
-  /** Time to renew and to look at the others. */
+  /** Timer: renews the lease and reads the assignment and the leases of the other members. */
   record Beat() implements OwnershipEvent {}
 
-  /** The process was asked to stop gracefully. */
+  /** The process was asked to shut down gracefully. */
   record StopAsked() implements OwnershipEvent {}
 
   /**
-   * Time to see whether a leaving process has work left.
+   * Timer: checks whether a leaving process still has work.
    *
-   * @param notBefore monotonic time before which work may still be under way to this process
+   * @param notBefore monotonic time until which requests may still be in transit to this process
    */
   record DrainCheck(long notBefore) implements OwnershipEvent {}
 
-  /** All work of a leaving process is done: give the share back. */
+  /** The leaving process has finished all its work and releases its share of the resources. */
   record Drained() implements OwnershipEvent {}
 
-  /** The members changed; resources not owned any more were released with this event. */
+  /** The epoch changed; handlers of this event release resources that are no longer owned. */
   record EpochSeen() implements OwnershipEvent {}
 
-  /** All members acknowledged the epoch and old orders have expired. */
+  /**
+   * All members have acknowledged the epoch and orders issued under older epochs have expired, so
+   * newly assigned resources may be used.
+   */
   record GainsOpen() implements OwnershipEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipPhase.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipPhase.java
@@ -1,14 +1,14 @@
 package org.cottontack.core.ownership;
 
-/** Where an entry instance stands in its own life. */
+/** The lifecycle phase of an entry instance. */
 public enum OwnershipPhase {
-  /** Has no lease or is not yet in the assignment. */
+  /** Has no lease yet or is not yet a member of the assignment. */
   JOINING(true),
-  /** Is in the assignment. */
+  /** Is a member of the assignment. */
   MEMBER(true),
-  /** Stops: takes nothing new and gives its share back when its work is done. */
+  /** Is shutting down: accepts no new work and releases its share once its work is finished. */
   LEAVING(true),
-  /** Has given its share back. */
+  /** Has released its share. */
   LEFT(false);
 
   private final boolean renews;
@@ -17,7 +17,7 @@
     this.renews = renews;
   }
 
-  /** Returns whether the lease is kept up in this phase. */
+  /** Returns whether the lease is renewed in this phase. */
   boolean renews() {
     return renews;
   }
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipPurpose.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipPurpose.java
@@ -3,7 +3,7 @@
 import org.cottontack.core.id.InstanceId;
 import org.cottontack.core.store.Purpose;
 
-/** Why the ownership part writes or reads. */
+/** Purposes of the reads and writes of the ownership part. All are urgent. */
 interface OwnershipPurpose extends Purpose {
 
   @Override
@@ -14,18 +14,18 @@
   /**
    * Renews the lease.
    *
-   * @param self the incarnation it is for
-   * @param version the version the row gets
-   * @param sentAt when it was asked for; the lease counts from here
+   * @param self the incarnation whose lease is renewed
+   * @param version the version of the lease row after the renewal
+   * @param sentAt monotonic time at which the renewal was requested; the lease starts here
    */
   record Renewal(InstanceId self, long version, long sentAt) implements OwnershipPurpose {}
 
-  /** Reads assignment and leases. */
+  /** Reads the assignment and all leases. */
   record Observe() implements OwnershipPurpose {}
 
   /** Changes the members. */
   record Reassign() implements OwnershipPurpose {}
 
-  /** Gives the share back. */
+  /** Releases the share of this instance. */
   record Leave() implements OwnershipPurpose {}
 }
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipReducer.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipReducer.java
@@ -19,14 +19,15 @@
 import org.pcollections.PMap;
 
 /**
- * Keeps this incarnation's lease, follows the epochs of its data centre and removes members whose
+ * Renews this incarnation's lease, tracks the epochs of its data centre and removes members whose
  * lease has provably ended. See {@code docs/design/1-ownership.md}.
  */
 public final class OwnershipReducer {
 
-  /** Renewals and looks at the others in one lease time. */
+  /** Number of renewals and observations of the other members per lease duration. */
   private static final int BEATS_PER_LEASE = 5;
 
+  /** Interval at which a leaving process checks whether it can release its share. */
   private static final long DRAIN_MILLIS = 50;
 
   private OwnershipReducer() {}
@@ -100,8 +101,8 @@
     if (!applied) {
       return rejoin(state);
     }
-    // The lease counts from before the write was sent: an observer first sees the new version later
-    // than that, so the observer's wait always ends after this process has stopped acting.
+    // The lease starts before the write is sent. An observer first sees the new version later than
+    // that, so its wait always ends after this process has stopped acting.
     long until = renewal.sentAt() + state.settings().leaseMillis();
     OwnershipState own =
         state.ownership().copy().renewed(renewal.version(), renewal.sentAt(), until).build();
@@ -109,9 +110,9 @@
   }
 
   /**
-   * Another process revoked the lease, for instance while this one was paused. Everything held is
-   * released before the process joins again under a new name, so that it can never act on the old
-   * share.
+   * Joins again under a new identifier after another process revoked the lease, for example while
+   * this one was paused. All resources are released first, so that the process cannot act on its
+   * old share.
    */
   private static Step rejoin(State state) {
     OwnershipState old = state.ownership();
@@ -127,6 +128,9 @@
         .then(OwnershipReducer::renew);
   }
 
+  /**
+   * Returns the identifier with its generation suffix ({@code ~2}, {@code ~3}, ...) incremented.
+   */
   private static InstanceId nextIncarnation(InstanceId old) {
     int separator = old.value().lastIndexOf('~');
     int generation = separator < 0 ? 1 : Integer.parseInt(old.value().substring(separator + 1));
@@ -149,7 +153,7 @@
     StoreRow row =
         rows.stream().filter(r -> r.key().equals(key)).findFirst().orElse(StoreRow.absent(key));
     if (row.version() < before.assignmentVersion()) {
-      return Step.of(state); // a late answer of an older read
+      return Step.of(state); // delayed response to an earlier read
     }
     AssignmentRecord seen =
         row.value() instanceof AssignmentRecord record ? record : AssignmentRecord.NONE;
@@ -161,8 +165,9 @@
     if (seen.epoch() == before.assignment().epoch()) {
       return Step.of(state.with(next.build()));
     }
-    // A promise counts for the epoch it was asked in. A member that joined since was not asked, and
-    // takes the acknowledgement of the new epoch as a sign that it must be.
+    // Promises are valid only in the epoch in which they were requested, so the cover is dropped. A
+    // member that joined since then was not asked; once it sees this instance acknowledge the new
+    // epoch, it assumes that its own promise is needed too.
     return Step.of(
             state.with(next.cover(0).build()),
             new Effect.Note("ownership.epoch", "" + seen.epoch(), "members " + seen.members()),
@@ -190,9 +195,10 @@
   }
 
   /**
-   * Resources gained in an epoch may be used once every member has acknowledged it: each has then
-   * stopped acting under older epochs, and orders still on the wire expire within their lifetime.
-   * Acknowledgements and assignment come from one snapshot, so none can belong to a newer epoch.
+   * Schedules the use of resources gained in the current epoch, once every member has acknowledged
+   * it. By then each member has stopped acting under older epochs, and orders still in transit
+   * expire within the order lifetime, which is waited out. The acknowledgements and the assignment
+   * come from one snapshot, so no acknowledgement can belong to a newer epoch.
    */
   private static Step passBarrier(State state) {
     OwnershipState own = state.ownership();
@@ -208,6 +214,9 @@
         new Effect.After(wait, new OwnershipEvent.GainsOpen()));
   }
 
+  /**
+   * Proposes to add this instance while it joins, otherwise to remove members with ended leases.
+   */
   private static Step propose(State state) {
     OwnershipState own = state.ownership();
     if (own.reassigning() || state.mono() >= own.leaseUntil() || !own.phase().renews()) {
@@ -235,7 +244,10 @@
         new Effect.Raise(new StoreEvent.Submit(mutations, new OwnershipPurpose.Reassign())));
   }
 
-  /** Removing the row at the version that lapsed makes the old holder's next renewal fail. */
+  /**
+   * Returns the mutation that removes the lease row at the version that expired, so that the former
+   * holder's next renewal fails.
+   */
   private static Mutation revocation(State state, InstanceId member) {
     StoreKey key = StoreKey.lease(state.settings().dataCentre(), member);
     long version = state.ownership().peers().get(member).version();
@@ -251,10 +263,10 @@
   }
 
   /**
-   * Work in flight is finished before the share is given back. Another instance may have handed
-   * over a request that is still on its way; if this process ended before it arrived, its caller
-   * would be left in doubt by a planned stop. Such a request is refused as not run and goes
-   * elsewhere.
+   * Releases the share once all work in flight is finished. Another instance may have forwarded a
+   * request that is still in transit. If this process ended before the request arrived, a planned
+   * stop would leave its caller in doubt. Waiting until {@code notBefore} lets this process refuse
+   * such a request as not run, so that it can be sent to another instance.
    */
   private static Step drainCheck(State state, OwnershipEvent.DrainCheck event) {
     boolean idle =
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipState.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipState.java
@@ -10,24 +10,24 @@
 import org.pcollections.PSet;
 
 /**
- * Leases, epochs and promises as this process knows them. Times are monotonic milliseconds.
+ * The state of leases, epochs and promises in this process. Times are monotonic milliseconds.
  *
- * @param phase where this instance stands
- * @param self this incarnation; changes when a lost lease makes the process join anew
- * @param leaseVersion version of its own lease row, 0 before the first
- * @param renewalSent when the renewal under way was asked for, or -1
- * @param renewedAt when the last renewal that took effect was asked for, or -1
- * @param leaseUntil end of the lease the store confirmed
+ * @param phase lifecycle phase of this instance
+ * @param self this incarnation; replaced when the process has lost its lease and joins again
+ * @param leaseVersion version of its own lease row, 0 before the first renewal
+ * @param renewalSent when the renewal in flight was requested, or -1 if there is none
+ * @param renewedAt when the last successful renewal was requested, or -1
+ * @param leaseUntil end of the lease that the store confirmed
  * @param coverUntil end of the cover that the other members promised
- * @param assignment members and epoch last seen
- * @param assignmentVersion its version in the store
+ * @param assignment members and epoch last read
+ * @param assignmentVersion version of the assignment row in the store
  * @param peers leases of other incarnations
- * @param barrierEpoch newest epoch that all members were seen to have acknowledged
- * @param usableFrom when resources gained in that epoch may be used
- * @param given promises made to others, each with its end
- * @param reassigning whether a change of members by this process has no outcome yet
- * @param round number of the promise round
- * @param roundSent when the round was started
+ * @param barrierEpoch newest epoch that all members have acknowledged, as read from their leases
+ * @param usableFrom time from which resources gained in that epoch may be used
+ * @param given promises made to other members, each with its end
+ * @param reassigning whether a change of members by this process is still without an outcome
+ * @param round number of the current promise round
+ * @param roundSent when that round was started
  * @param roundOpen members that have not yet promised in this round
  */
 public record OwnershipState(
@@ -49,7 +49,7 @@
     long roundSent,
     PSet<InstanceId> roundOpen) {
 
-  /** A process that has not started to join. */
+  /** The state of a process that has not started to join. */
   public static final OwnershipState EMPTY =
       new OwnershipState(
           OwnershipPhase.JOINING,
@@ -70,17 +70,17 @@
           0,
           HashTreePSet.empty());
 
-  /** Returns whether this instance may give orders now: its lease or its cover still holds. */
+  /** Returns whether this instance may issue orders now: its lease or its cover is still valid. */
   public boolean mayAct(long now) {
     return assignment.members().containsKey(self) && now < actsUntil();
   }
 
-  /** Returns the monotonic time at which this instance must stop giving orders. */
+  /** Returns the monotonic time at which this instance must stop issuing orders. */
   public long actsUntil() {
     return Math.max(leaseUntil, coverUntil);
   }
 
-  /** Returns whether the members give this resource to this instance in the epoch last seen. */
+  /** Returns whether this instance owns the resource in the epoch last read. */
   public boolean owns(String resource) {
     return assignment.members().containsKey(self)
         && Rendezvous.owner(resource, assignment.members().keySet())
@@ -88,26 +88,26 @@
             .isPresent();
   }
 
-  /** Returns whether resources gained in the current epoch may be taken up now. */
+  /** Returns whether resources gained in the current epoch may be used now. */
   public boolean gainsOpen(long now) {
     return barrierEpoch == assignment.epoch() && now >= usableFrom && mayAct(now);
   }
 
-  /** Returns the other members of the epoch last seen. */
+  /** Returns the other members of the epoch last read. */
   public Set<InstanceId> others() {
     return assignment.members().keySet().stream()
         .filter(member -> !member.equals(self))
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns the address of another incarnation, if its lease row was seen. */
+  /** Returns the address of another incarnation, if its lease row has been read. */
   public Optional<String> addressOf(InstanceId instance) {
     return Optional.ofNullable(peers.get(instance))
         .map(ObservedLease::record)
         .map(LeaseRecord::address);
   }
 
-  /** Returns the epoch in which this incarnation joined, or 0. */
+  /** Returns the epoch in which this incarnation joined, or 0 if it is not a member. */
   long joinEpoch() {
     return assignment.members().getOrDefault(self, 0L);
   }
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipStateBuilder.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipStateBuilder.java
@@ -4,7 +4,7 @@
 import org.pcollections.PMap;
 import org.pcollections.PSet;
 
-/** Copies an {@link OwnershipState} with some parts changed. */
+/** Builds a modified copy of an {@link OwnershipState}. */
 final class OwnershipStateBuilder {
 
   private OwnershipPhase phase;
--- a/core/src/main/java/org/cottontack/core/ownership/Promises.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Promises.java
@@ -12,13 +12,15 @@
 import org.pcollections.PSet;
 
 /**
- * Cover by unanimous promises while the store is away: all other members of the epoch promise not
- * to revoke, so nobody can take the share over although the lease is not renewed.
+ * Extends ownership by unanimous promises while the store is unavailable. All other members of the
+ * epoch promise not to revoke the lease, so no process can take over the share although the lease
+ * is not renewed. The time gained in this way is called cover.
  */
 final class Promises {
 
   private Promises() {}
 
+  /** Starts a new promise round if the store is unavailable while a renewal is in flight. */
   static Step askWhenStoreUnavailable(State state) {
     OwnershipState own = state.ownership();
     boolean coverNeeded = state.store().unavailable() && own.renewalSent() >= 0;
@@ -46,13 +48,14 @@
     return Step.of(state);
   }
 
+  /** Promises not to revoke the sender's lease; no answer is a refusal. */
   private static Step answerAsk(State state, PeerEvent.Received event, PeerMessage.PromiseAsk ask) {
     OwnershipState own = state.ownership();
     boolean sameEpoch =
         ask.epoch() == own.assignment().epoch()
             && own.joinEpoch() > 0
             && own.assignment().members().containsKey(event.from());
-    // A change of members by this process may still take effect: it may remove the asker.
+    // A change of members by this process may still take effect, and it may remove the sender.
     if (!sameEpoch || own.reassigning()) {
       return Step.of(state);
     }
@@ -64,6 +67,7 @@
             event.address(), new PeerMessage.PromiseGiven(ask.epoch(), ask.round())));
   }
 
+  /** Records a promise of the current round; the last outstanding one extends the cover. */
   private static Step recordPromise(State state, InstanceId from, PeerMessage.PromiseGiven given) {
     OwnershipState own = state.ownership();
     boolean current = given.round() == own.round() && given.epoch() == own.assignment().epoch();
@@ -78,7 +82,10 @@
     return Step.of(state.with(next.build()));
   }
 
-  /** Bounded by the horizon, which is what a process outside the epoch waits out. */
+  /**
+   * Returns the end of the cover. It is at most the horizon after the last successful renewal,
+   * because that is the time for which a process outside the epoch waits before it revokes.
+   */
   private static long coverUntil(State state) {
     OwnershipState own = state.ownership();
     return Stream.of(
--- a/core/src/main/java/org/cottontack/core/ownership/Rendezvous.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Rendezvous.java
@@ -6,8 +6,9 @@
 import org.cottontack.core.id.InstanceId;
 
 /**
- * Highest random weight hashing (Thaler and Ravishankar, 1998): each member scores each resource
- * and the highest score owns it, so that one member's coming or going moves only its own share.
+ * Rendezvous (highest random weight) hashing (Thaler and Ravishankar, 1998). Each pair of a member
+ * and a resource has a score, and the member with the highest score owns the resource. When a
+ * member joins or leaves, only its own share moves.
  */
 public final class Rendezvous {
 
@@ -16,7 +17,7 @@
 
   private Rendezvous() {}
 
-  /** Returns the member that owns the resource, or nothing when there are no members. */
+  /** Returns the member that owns the resource, or empty if there are no members. */
   public static Optional<InstanceId> owner(String resource, Collection<InstanceId> members) {
     return members.stream()
         .max(
@@ -39,7 +40,10 @@
     return hash;
   }
 
-  /** The finalizer of SplitMix64 (Steele, Lea and Flood, 2014): FNV alone leaves high bits poor. */
+  /**
+   * Applies the finalizer of SplitMix64 (Steele, Lea and Flood, 2014), because FNV alone mixes the
+   * high bits poorly.
+   */
   private static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/core/src/main/java/org/cottontack/core/ownership/Revocation.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Revocation.java
@@ -4,18 +4,19 @@
 import org.cottontack.core.State;
 import org.cottontack.core.id.InstanceId;
 
-/** Decides when another member can provably act no more. */
+/** Decides when another member provably can no longer act, so that its lease may be revoked. */
 final class Revocation {
 
   private Revocation() {}
 
   /**
-   * Returns whether the member's lease and every cover it may have from promises have ended.
+   * Returns whether the member's lease and any cover it may have from promises have ended.
    *
-   * <p>A wait on the lease alone is not enough: while the store is away, members cover each other
-   * by promises, and this process may not be among those that were asked. So it also needs either
-   * to be one whose promise the member must ask, or to know one that refuses, or to wait out the
-   * horizon that bounds all cover.
+   * <p>Waiting for the end of the lease is not enough. While the store is unavailable, members
+   * extend each other's ownership by promises, and this process may not be among those that were
+   * asked. One of the following must therefore hold as well: the member needs the promise of this
+   * process; another process whose promise the member needs is known to refuse it; or the horizon,
+   * which bounds all cover, has passed.
    */
   static boolean allowed(State state, InstanceId member) {
     OwnershipState own = state.ownership();
@@ -34,15 +35,22 @@
         || now >= lease.since() + settings.cutHorizon() + wait;
   }
 
-  /** This process listens on the member's address, so the process that did so before is gone. */
+  /** Returns whether this process listens on the member's address: its former user has ended. */
   private static boolean addressTakenOver(Settings settings, ObservedLease lease) {
     return lease.record() != null && lease.record().address().equals(settings.address());
   }
 
+  /** Returns whether the member has acknowledged an epoch that includes this instance. */
   private static boolean mustAskThisInstance(OwnershipState own, ObservedLease lease) {
     return lease.ackedEpoch() >= own.joinEpoch();
   }
 
+  /**
+   * Returns whether another instance, whose promise the member needs, has made none to it since
+   * {@code lastPromiseBefore}. Promises are made only within one epoch, and by that time the other
+   * instance had acknowledged an epoch that includes this process and that the member has not
+   * acknowledged.
+   */
   private static boolean anotherRefuses(
       OwnershipState own, InstanceId member, ObservedLease lease, long lastPromiseBefore) {
     return own.others().stream()
--- a/core/src/main/java/org/cottontack/core/ownership/package-info.java
+++ b/core/src/main/java/org/cottontack/core/ownership/package-info.java
@@ -1,2 +1,2 @@
-/** Leases and epochs that decide which entry instance acts for a worker or an endpoint. */
+/** Leases and epochs that determine which entry instance owns a worker or an endpoint. */
 package org.cottontack.core.ownership;
--- a/core/src/main/java/org/cottontack/core/peer/Payload.java
+++ b/core/src/main/java/org/cottontack/core/peer/Payload.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes of a request or an answer; the core never looks inside. */
+/** The body of a request or response, as opaque bytes. */
 public final class Payload {
 
-  /** No bytes. */
+  /** An empty payload. */
   public static final Payload EMPTY = new Payload(new byte[0]);
 
   private final byte[] bytes;
@@ -35,7 +35,7 @@
     return bytes.length;
   }
 
-  /** Returns the bytes read as UTF-8. */
+  /** Returns the bytes decoded as UTF-8. */
   public String text() {
     return new String(bytes, StandardCharsets.UTF_8);
   }
--- a/core/src/main/java/org/cottontack/core/peer/PeerEffect.java
+++ b/core/src/main/java/org/cottontack/core/peer/PeerEffect.java
@@ -2,13 +2,13 @@
 
 import org.cottontack.core.Effect;
 
-/** What goes to other entry instances. */
+/** Effects that send messages to other entry instances. */
 public interface PeerEffect extends Effect {
 
   /**
    * Sends a message.
    *
-   * @param address where to, {@code host:port}
+   * @param address the receiver, {@code host:port}
    * @param message the message
    */
   record Send(String address, PeerMessage message) implements PeerEffect {}
--- a/core/src/main/java/org/cottontack/core/peer/PeerEvent.java
+++ b/core/src/main/java/org/cottontack/core/peer/PeerEvent.java
@@ -3,14 +3,14 @@
 import org.cottontack.core.Event;
 import org.cottontack.core.id.InstanceId;
 
-/** What came from other entry instances. */
+/** Events of the connections to other entry instances. */
 public interface PeerEvent extends Event {
 
   /**
    * A message arrived.
    *
-   * @param from the incarnation that sent it
-   * @param address where it can be reached
+   * @param from the sending incarnation
+   * @param address address of the sender, {@code host:port}
    * @param message the message
    */
   record Received(InstanceId from, String address, PeerMessage message) implements PeerEvent {}
@@ -18,16 +18,15 @@
   /**
    * A message could not be delivered: no byte of it left this process.
    *
-   * @param address where it was to go
+   * @param address the intended receiver, {@code host:port}
    * @param message the message
    */
   record Undelivered(String address, PeerMessage message) implements PeerEvent {}
 
   /**
-   * The connection to an instance was lost; messages handed over before may or may not have
-   * arrived.
+   * The connection to an instance was lost. Messages sent before may or may not have arrived.
    *
-   * @param address the instance
+   * @param address address of the instance, {@code host:port}
    */
   record Lost(String address) implements PeerEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/peer/package-info.java
+++ b/core/src/main/java/org/cottontack/core/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between entry instances. */
+/** Messages between entry instances, with their events and effects. */
 package org.cottontack.core.peer;
--- a/core/src/main/java/org/cottontack/core/store/Mutation.java
+++ b/core/src/main/java/org/cottontack/core/store/Mutation.java
@@ -3,20 +3,20 @@
 /**
  * A conditional change of one row.
  *
- * @param key the row
- * @param expectedVersion the version the row must have, 0 for one that must not exist
- * @param action what is done to the row when the condition holds
+ * @param key the key of the row
+ * @param expectedVersion the version that the row must have, or 0 if the row must not exist
+ * @param action the action applied to the row if the condition holds
  * @param value the new content for {@link Action#PUT}, otherwise null
  */
 public record Mutation(StoreKey key, long expectedVersion, Action action, StoredValue value) {
 
-  /** What a mutation does to its row. */
+  /** The action of a mutation on its row. */
   public enum Action {
     /** Writes the new content. */
     PUT,
     /** Removes the row. */
     DELETE,
-    /** Leaves the row as it is; only the condition counts. */
+    /** Leaves the row unchanged and only checks the condition. */
     CHECK
   }
 
@@ -30,7 +30,7 @@
     return new Mutation(key, expectedVersion, Action.DELETE, null);
   }
 
-  /** Returns a mutation that changes nothing but fails the write unless the version is met. */
+  /** Returns a mutation that changes nothing, but fails the write unless the version matches. */
   public static Mutation check(StoreKey key, long expectedVersion) {
     return new Mutation(key, expectedVersion, Action.CHECK, null);
   }
--- a/core/src/main/java/org/cottontack/core/store/Purpose.java
+++ b/core/src/main/java/org/cottontack/core/store/Purpose.java
@@ -1,9 +1,12 @@
 package org.cottontack.core.store;
 
-/** Why something is written or read: comes back with the result. Implementations are records. */
+/**
+ * The reason for a read or write, returned with its result so that the requesting part recognizes
+ * it. Implementations are records.
+ */
 public interface Purpose {
 
-  /** Returns whether this goes before ordinary writes, as lease renewals do. */
+  /** Returns whether the write is sent before ordinary writes; lease renewals are, for example. */
   default boolean urgent() {
     return false;
   }
--- a/core/src/main/java/org/cottontack/core/store/StoreEvent.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreEvent.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import org.cottontack.core.Event;
 
-/** What the platform's table service answered, and what the core asks of its own store part. */
+/** Responses of the platform's table service, and requests of the core to its own store part. */
 public interface StoreEvent extends Event {
 
   /**
-   * Asks for a write; answered by {@link Settled}.
+   * Requests a write; its outcome is reported by {@link Settled}.
    *
-   * @param mutations take effect together or not at all
-   * @param purpose comes back with the outcome
+   * @param mutations the mutations, applied together or not at all
+   * @param purpose returned with the outcome
    */
   record Submit(List<Mutation> mutations, Purpose purpose) implements StoreEvent {
 
@@ -23,38 +23,38 @@
   /**
    * The transaction took effect.
    *
-   * @param batch the transaction
+   * @param batch number of the transaction
    */
   record Committed(long batch) implements StoreEvent {}
 
   /**
-   * The transaction did not take effect now because rows had other versions.
+   * The transaction did not take effect with this attempt because rows had other versions.
    *
-   * @param batch the transaction
-   * @param current those rows as they stand
+   * @param batch number of the transaction
+   * @param current the current content of those rows
    */
   record Conflicted(long batch, List<StoreRow> current) implements StoreEvent {}
 
   /**
-   * No answer came: the transaction may or may not have taken effect, or may do so later.
+   * The transaction got no response. It may or may not have taken effect, or may still do so.
    *
-   * @param batch the transaction
+   * @param batch number of the transaction
    */
   record Unanswered(long batch) implements StoreEvent {}
 
   /**
-   * Time to send the next transaction.
+   * Timer: sends the next transaction or repeats the current one.
    *
-   * @param batch the transaction to send again, or 0 for a new one
+   * @param batch number of the transaction to send again, or 0 for a new one
    */
   record Flush(long batch) implements StoreEvent {}
 
   /**
    * A write has a definite outcome.
    *
-   * @param purpose of the write
-   * @param applied whether it took effect
-   * @param conflicts rows that stood in the way; empty when applied
+   * @param purpose the purpose of the write
+   * @param applied whether the write took effect
+   * @param conflicts the rows whose versions did not match; empty when applied
    */
   record Settled(Purpose purpose, boolean applied, List<StoreRow> conflicts)
       implements StoreEvent {}
@@ -62,15 +62,15 @@
   /**
    * Rows were read.
    *
-   * @param purpose of the read
-   * @param rows all rows under the prefix, at one point in time
+   * @param purpose the purpose of the read
+   * @param rows all rows under the prefix, as one consistent snapshot
    */
   record Scanned(Purpose purpose, List<StoreRow> rows) implements StoreEvent {}
 
   /**
    * A read failed.
    *
-   * @param purpose of the read
+   * @param purpose the purpose of the read
    */
   record ScanFailed(Purpose purpose) implements StoreEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/store/StoreKey.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreKey.java
@@ -6,18 +6,18 @@
 import org.cottontack.core.id.TaskId;
 
 /**
- * The name of a row in the platform's table service.
+ * The key of a row in the platform's table service.
  *
- * @param value path-like text; rows that are read together share a prefix
+ * @param value a path; rows that are read together share a prefix
  */
 public record StoreKey(String value) {
 
-  /** Number of buckets that live tasks of a data centre are spread over. */
+  /** Number of buckets among which the live tasks of a data centre are distributed. */
   public static final int BUCKETS = 64;
 
   private static final String ASSIGNMENT = "assignment";
 
-  /** Returns the prefix under which a data centre's assignment and leases stand. */
+  /** Returns the prefix of a data centre's assignment and leases. */
   public static String ownershipPrefix(DataCentreId dataCentre) {
     return "own/" + dataCentre + "/";
   }
@@ -27,17 +27,17 @@
     return new StoreKey(ownershipPrefix(dataCentre) + ASSIGNMENT);
   }
 
-  /** Returns the key of one incarnation's lease. */
+  /** Returns the key of the lease of one incarnation. */
   public static StoreKey lease(DataCentreId dataCentre, InstanceId instance) {
     return new StoreKey(ownershipPrefix(dataCentre) + "lease/" + instance);
   }
 
-  /** Returns the key of the operators' table. */
+  /** Returns the key of the pointer to the current version of the operators' table. */
   public static StoreKey table() {
     return new StoreKey("table/current");
   }
 
-  /** Returns the key of one past version of the operators' table. */
+  /** Returns the key of the content of one version of the operators' table. */
   public static StoreKey tableHistory(long version) {
     return new StoreKey("table/history/%09d".formatted(version));
   }
@@ -67,7 +67,7 @@
     return new StoreKey("ended/" + dataCentre + "/" + task);
   }
 
-  /** Returns the bucket of a task. */
+  /** Returns the bucket of a task, from 0 to {@link #BUCKETS} - 1. */
   public static int bucketOf(TaskId task) {
     return Math.floorMod(task.value().hashCode(), BUCKETS);
   }
--- a/core/src/main/java/org/cottontack/core/store/StoreReducer.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreReducer.java
@@ -12,15 +12,16 @@
 import org.pcollections.TreePVector;
 
 /**
- * Joins writes into transactions, one under way at a time, and gives each write a definite outcome.
+ * Batches writes into transactions, of which at most one is in flight, and determines a definite
+ * outcome for each write.
  *
- * <p>A transaction whose answer was lost is sent again exactly as it was. All its writes are
- * conditional on versions, so at most one copy takes effect, and a conflict with a row that carries
- * our own write id tells that an earlier copy did.
+ * <p>A transaction whose response was lost is sent again unchanged. All its writes are conditional
+ * on row versions, so at most one of the attempts takes effect. A conflict with a row that carries
+ * one of the transaction's own write identifiers shows that an earlier attempt took effect.
  */
 public final class StoreReducer {
 
-  /** Most writes in one transaction. */
+  /** Maximum number of writes in one transaction. */
   static final int MAX_BATCH = 64;
 
   private static final long FIRST_RETRY_MILLIS = 100;
@@ -45,6 +46,7 @@
     return schedule(state.with(state.store().enqueue(write)));
   }
 
+  /** Schedules a flush, unless nothing waits, one is pending or a transaction is in flight. */
   private static Step schedule(State state) {
     StoreState store = state.store();
     boolean idle = store.urgent().isEmpty() && store.ordinary().isEmpty();
@@ -82,6 +84,10 @@
     return Step.of(state.with(next), new StoreEffect.Commit(next.batch(), next.sent()));
   }
 
+  /**
+   * Moves the writes that fit into the transaction to {@code chosen} and returns the others. A
+   * write that shares a row with an earlier one waits, so that writes of one row keep their order.
+   */
   private static PVector<Write> choose(
       PVector<Write> waiting, List<Write> chosen, Set<StoreKey> rows) {
     List<Write> remaining = new ArrayList<>();
@@ -117,8 +123,9 @@
     if (event.batch() != store.batch() || store.sent().isEmpty()) {
       return Step.of(state);
     }
-    // An answer lost after the transaction took effect shows here as a conflict with ourselves.
-    // The transaction is all or nothing, so one row with our write id proves that all took effect.
+    // If the response to an earlier attempt was lost after that attempt took effect, this one
+    // conflicts with it. The transaction is atomic, so one row with one of its write identifiers
+    // proves that all its writes took effect.
     boolean alreadyApplied =
         store.sent().stream()
             .anyMatch(
@@ -127,6 +134,7 @@
     return alreadyApplied ? resolveAsApplied(state) : resolveConflicts(state, event.current());
   }
 
+  /** Reports the writes that met a conflict as not applied and queues the others again, first. */
   private static Step resolveConflicts(State state, List<StoreRow> current) {
     List<Write> toResend = new ArrayList<>();
     List<Effect> effects = new ArrayList<>();
--- a/core/src/main/java/org/cottontack/core/store/StoreRow.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreRow.java
@@ -1,16 +1,16 @@
 package org.cottontack.core.store;
 
 /**
- * A row as the table service returned it.
+ * A row as returned by the platform's table service.
  *
- * @param key its name
- * @param version counts up by one with each write; a row that never existed has version 0
- * @param writeId the write that made this version
+ * @param key the key of the row
+ * @param version incremented by one with each write; 0 for a row that never existed
+ * @param writeId identifier of the write that created this version
  * @param value the content, or null for a row that was deleted or never existed
  */
 public record StoreRow(StoreKey key, long version, String writeId, StoredValue value) {
 
-  /** Returns the row that stands for one that does not exist. */
+  /** Returns a row that represents one that never existed. */
   public static StoreRow absent(StoreKey key) {
     return new StoreRow(key, 0, "", null);
   }
--- a/core/src/main/java/org/cottontack/core/store/StoreState.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreState.java
@@ -7,16 +7,16 @@
 import org.pcollections.TreePVector;
 
 /**
- * Writes that wait and the one transaction that is under way.
+ * The waiting writes and the one transaction in flight.
  *
- * @param urgent waiting writes that go first
+ * @param urgent waiting writes that are sent first
  * @param ordinary other waiting writes, oldest first
- * @param sent the transaction under way, empty when there is none
+ * @param sent the writes of the transaction in flight, empty if there is none
  * @param batch number of the last transaction
  * @param nextWrite number of the next write
- * @param failures transactions without an answer in a row
+ * @param failures number of consecutive attempts without a response
  * @param notBefore monotonic time before which no transaction is sent
- * @param flushPending whether a flush is already on its way
+ * @param flushPending whether a flush is already scheduled
  */
 public record StoreState(
     PVector<Write> urgent,
@@ -28,31 +28,31 @@
     long notBefore,
     boolean flushPending) {
 
-  /** Nothing waits. */
+  /** No writes waiting or in flight. */
   public static final StoreState EMPTY =
       new StoreState(TreePVector.empty(), TreePVector.empty(), List.of(), 0, 1, 0, 0, false);
 
-  /** Returns whether the last transactions went unanswered. */
+  /** Returns whether the last attempt to commit got no response. */
   public boolean unavailable() {
     return failures > 0;
   }
 
-  /** Returns whether nothing waits and nothing is under way. */
+  /** Returns whether no write is waiting or in flight. */
   public boolean idle() {
     return urgent.isEmpty() && ordinary.isEmpty() && sent.isEmpty();
   }
 
-  /** Returns whether a write for such a purpose waits and has never been sent. */
+  /** Returns whether a write with a matching purpose is waiting and in no transaction in flight. */
   public boolean hasWaiting(Predicate<Purpose> filter) {
     return Stream.concat(urgent.stream(), ordinary.stream()).map(Write::purpose).anyMatch(filter);
   }
 
-  /** Returns whether a write for such a purpose is under way. */
+  /** Returns whether a write with a matching purpose is in flight. */
   public boolean hasInFlight(Predicate<Purpose> filter) {
     return sent.stream().map(Write::purpose).anyMatch(filter);
   }
 
-  /** Returns this state without the waiting writes for such a purpose. */
+  /** Returns this state without the waiting writes that have a matching purpose. */
   public StoreState withdraw(Predicate<Purpose> filter) {
     Predicate<Write> matches = write -> filter.test(write.purpose());
     return new StoreState(
--- a/core/src/main/java/org/cottontack/core/store/Write.java
+++ b/core/src/main/java/org/cottontack/core/store/Write.java
@@ -4,15 +4,16 @@
 import java.util.stream.Stream;
 
 /**
- * Mutations that take effect together or not at all.
+ * Mutations that are applied together or not at all.
  *
- * @param writeId unique over all processes; stored with each row so that a lost answer is resolved
- * @param mutations at least one, each on another row
- * @param purpose comes back with the outcome
+ * @param writeId identifier, unique among all processes; stored with each row so that the outcome
+ *     can be determined after a lost response
+ * @param mutations at least one mutation, each on a different row
+ * @param purpose returned with the outcome
  */
 public record Write(String writeId, List<Mutation> mutations, Purpose purpose) {
 
-  /** Keeps the mutations immutable. */
+  /** Copies the mutations into an immutable list. */
   public Write {
     mutations = List.copyOf(mutations);
   }
--- a/core/src/main/java/org/cottontack/core/store/package-info.java
+++ b/core/src/main/java/org/cottontack/core/store/package-info.java
@@ -1,2 +1,2 @@
-/** Conditional writes to the platform's table service, with lost answers resolved. */
+/** Conditional writes to the platform's table service, with outcomes despite lost responses. */
 package org.cottontack.core.store;
--- a/core/src/main/java/org/cottontack/core/table/RowSpec.java
+++ b/core/src/main/java/org/cottontack/core/table/RowSpec.java
@@ -7,18 +7,18 @@
 /**
  * One row of the operators' table.
  *
- * @param name unique in the table
+ * @param name the name, unique in the table
  * @param kind service or batch
  * @param team the team whose quota the row's work counts against
- * @param weight share by day against other rows, 1 to 1000
- * @param nightWeight share by night, 1 to 1000
+ * @param weight weight relative to other rows by day, 1 to 1000
+ * @param nightWeight weight relative to other rows by night, 1 to 1000
  * @param idempotent whether a request or task may safely run twice
- * @param targetMillis for a service, the latency its callers expect
- * @param deadlineMillis longest a request may take, or a batch task from submission to end
- * @param maxInFlight most requests of this row in one entry instance, or most of its tasks running
- *     in one data centre's share of an entry instance
- * @param demand what one batch task is declared to need
- * @param urgent whether its batch tasks go before others
+ * @param targetMillis for a service, the latency that its callers expect
+ * @param deadlineMillis maximum duration of a request, or of a batch task from submission to end
+ * @param maxInFlight maximum number of this row's requests in one entry instance, or of its tasks
+ *     that run on an entry instance's share of the workers of a data centre
+ * @param demand declared resource demand of one batch task
+ * @param urgent whether its batch tasks are placed before others
  */
 public record RowSpec(
     RowName name,
--- a/core/src/main/java/org/cottontack/core/table/TableCheck.java
+++ b/core/src/main/java/org/cottontack/core/table/TableCheck.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.cottontack.core.id.TeamId;
 
-/** Checks a whole table before it is accepted; all faults are listed at once. */
+/** Validates a complete table before it is accepted, and reports all faults at once. */
 public final class TableCheck {
 
   private static final int MAX_WEIGHT = 1_000;
@@ -17,7 +17,7 @@
 
   private TableCheck() {}
 
-  /** Returns every fault of the table, or an empty list for a table that can be accepted. */
+  /** Returns all faults of the table, or an empty list if the table is valid. */
   public static List<TableFault> faults(TableContent table) {
     Set<TeamId> teams = table.teams().stream().map(TeamSpec::name).collect(Collectors.toSet());
     return Stream.of(
@@ -49,7 +49,7 @@
                 new TableFault(
                     kind + " " + entry.getKey(),
                     "name",
-                    "stands " + entry.getValue() + " times; names must be unique"));
+                    "occurs " + entry.getValue() + " times; names must be unique"));
   }
 
   private static Stream<TableFault> team(TeamSpec team) {
--- a/core/src/main/java/org/cottontack/core/table/TableContent.java
+++ b/core/src/main/java/org/cottontack/core/table/TableContent.java
@@ -13,28 +13,29 @@
 import org.cottontack.core.id.TeamId;
 
 /**
- * What operators write: all rows and teams, and when night begins and ends.
+ * The content of the operators' table: all rows and teams, and the hours of the night weights.
  *
- * @param nightFromHour hour of the day in UTC at which night weights begin, 0 to 23
- * @param nightToHour hour of the day in UTC at which they end, 0 to 23; equal to the start for none
+ * @param nightFromHour hour of the day in UTC at which night weights start to apply, 0 to 23
+ * @param nightToHour hour of the day in UTC at which they cease to apply, 0 to 23; if equal to
+ *     {@code nightFromHour}, night weights never apply
  * @param teams all teams
  * @param rows all rows
  */
 public record TableContent(
     int nightFromHour, int nightToHour, List<TeamSpec> teams, List<RowSpec> rows) {
 
-  /** Keeps the lists immutable. */
+  /** Copies the teams and rows into immutable lists. */
   public TableContent {
     teams = List.copyOf(teams);
     rows = List.copyOf(rows);
   }
 
-  /** Returns the row of that name. */
+  /** Returns the row with the given name. */
   public Optional<RowSpec> row(RowName name) {
     return rows.stream().filter(row -> row.name().equals(name)).findFirst();
   }
 
-  /** Returns the team of that name. */
+  /** Returns the team with the given name. */
   public Optional<TeamSpec> team(TeamId name) {
     return teams.stream().filter(team -> team.name().equals(name)).findFirst();
   }
@@ -51,7 +52,7 @@
         : hour >= nightFromHour || hour < nightToHour;
   }
 
-  /** Returns the names of rows that differ between this content and another, sorted. */
+  /** Returns the sorted names of the rows that differ between this content and another. */
   public List<RowName> changedRows(TableContent other) {
     Map<RowName, RowSpec> ownRows = byName();
     Map<RowName, RowSpec> otherRows = other.byName();
--- a/core/src/main/java/org/cottontack/core/table/TableEffect.java
+++ b/core/src/main/java/org/cottontack/core/table/TableEffect.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import org.cottontack.core.Effect;
 
-/** What the table part tells operators. */
+/** Effects of the operators' table. */
 public interface TableEffect extends Effect {
 
   /**
    * The final answer to an edit.
    *
-   * @param ticket of the edit
-   * @param verdict what became of it
-   * @param version the version now in force here
-   * @param messages faults, or the rows that others changed, one line each
+   * @param ticket the ticket of the edit
+   * @param verdict the outcome of the edit
+   * @param version the version now in force in this process
+   * @param messages the faults of the table, or the conflict with another edit, one line each
    */
   record EditAnswered(long ticket, Verdict verdict, long version, List<String> messages)
       implements TableEffect {}
 
-  /** What became of an edit. */
+  /** The outcome of an edit. */
   enum Verdict {
-    /** The edit is the newest version. */
+    /** The edit became the newest version. */
     ACCEPTED,
     /** The table has faults. */
     INVALID,
-    /** Somebody else's edit came first. */
+    /** The edit is not based on the newest version, for example because another was accepted. */
     STALE
   }
 }
--- a/core/src/main/java/org/cottontack/core/table/TableEvent.java
+++ b/core/src/main/java/org/cottontack/core/table/TableEvent.java
@@ -5,27 +5,27 @@
 /** Events of the operators' table. */
 public interface TableEvent extends Event {
 
-  /** Time to look for a newer version. */
+  /** Timer: checks the store for a newer version. */
   record Poll() implements TableEvent {}
 
   /**
-   * An operator's edit.
+   * An operator submitted an edit.
    *
-   * @param ticket comes back with the answer
-   * @param expectedVersion the version the edit was made from
-   * @param editor who makes it
-   * @param content the whole new table
+   * @param ticket returned with the answer
+   * @param expectedVersion the version on which the edit is based
+   * @param editor the name of the operator
+   * @param content the complete new table
    */
   record EditAsked(long ticket, long expectedVersion, String editor, TableContent content)
       implements TableEvent {}
 
   /**
-   * A version newer than the one in force is known to exist.
+   * A version exists that may be newer than the one in force.
    *
    * @param version that version
    */
   record NewerKnown(long version) implements TableEvent {}
 
-  /** Another version came into force in this process. */
+  /** A newer version came into force in this process. */
   record Adopted() implements TableEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/table/TableFault.java
+++ b/core/src/main/java/org/cottontack/core/table/TableFault.java
@@ -1,11 +1,11 @@
 package org.cottontack.core.table;
 
 /**
- * Something wrong in a table.
+ * A fault of a table.
  *
- * @param place the row or team, or "table"
- * @param column the column
- * @param problem what is wrong and what would be right
+ * @param place the row or team that has the fault, or "table"
+ * @param column the column that has the fault
+ * @param problem the fault and the values that would be valid
  */
 public record TableFault(String place, String column, String problem) {
 
--- a/core/src/main/java/org/cottontack/core/table/TablePointer.java
+++ b/core/src/main/java/org/cottontack/core/table/TablePointer.java
@@ -3,10 +3,11 @@
 import org.cottontack.core.store.StoredValue;
 
 /**
- * The small row that every process reads every two seconds; the content stands in the history row
- * of that version, so that looking for news costs the same whatever the size of the table.
+ * The small row that every process reads every two seconds to check for a newer version. The
+ * content is stored in the history row of that version, so that the cost of the check does not
+ * depend on the size of the table.
  *
- * @param version the version in force
- * @param editor who made it
+ * @param version the newest accepted version
+ * @param editor the operator who made it
  */
 public record TablePointer(long version, String editor) implements StoredValue {}
--- a/core/src/main/java/org/cottontack/core/table/TableReducer.java
+++ b/core/src/main/java/org/cottontack/core/table/TableReducer.java
@@ -16,10 +16,16 @@
 import org.cottontack.core.store.StoreKey;
 import org.cottontack.core.store.StoreRow;
 
-/** Accepts edits by one conditional write each and follows the newest version, never an older. */
+/**
+ * Accepts each edit by one conditional write and adopts the newest version of the table. A process
+ * never returns to an older version.
+ */
 public final class TableReducer {
 
-  /** Keeps the spread well inside the ten seconds promised, with one answer lost on the way. */
+  /**
+   * Interval between two checks for a newer version. Every process is promised to adopt an edit
+   * within ten seconds; this interval leaves a margin even if one response is lost.
+   */
   private static final long POLL_MILLIS = 2_000;
 
   private TableReducer() {}
@@ -103,6 +109,7 @@
         .orElseGet(() -> stale(state, edit, null));
   }
 
+  /** Rejects an edit and adopts the version that was accepted before it, if there is one. */
   private static Step stale(State state, Edit edit, TableRecord winner) {
     return adopt(state, winner)
         .then(s -> answer(s, edit.ticket(), TableEffect.Verdict.STALE, conflict(edit, winner)));
@@ -163,7 +170,10 @@
         : Step.of(state);
   }
 
-  /** A late answer may carry an older version; it is dropped, so an accepted edit never reverts. */
+  /**
+   * Puts a version into force, unless it is older than the current one. A delayed response may
+   * carry an older version; it is dropped, so that an accepted edit is never reverted.
+   */
   private static Step adopt(State state, TableRecord seen) {
     if (seen == null || seen.version() < state.table().version()) {
       return Step.of(state);
--- a/core/src/main/java/org/cottontack/core/table/package-info.java
+++ b/core/src/main/java/org/cottontack/core/table/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' table, its checks and its spread. */
+/** The operators' table, its validation and its distribution to all processes. */
 package org.cottontack.core.table;
--- a/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
+++ b/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
@@ -18,12 +18,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who may act for a worker or an endpoint, through kills, pauses, cuts and outages. */
+/**
+ * Tests that each worker and endpoint has at most one acting owner, while entry instances are
+ * killed or paused, the network is partitioned and the store is unavailable.
+ */
 public final class OwnershipTest {
 
   private OwnershipTest() {}
 
-  /** A lab with two entry instances, two endpoints and two workers. */
+  /** A simulation with two entry instances, four endpoints and four workers. */
   public abstract static class TwoInstances {
 
     Lab lab;
@@ -31,7 +34,7 @@
     Node second;
     List<FakeEndpoint> endpoints;
 
-    /** Starts everything and waits until all is owned. */
+    /** Starts the simulation and waits until all workers and endpoints are owned. */
     @BeforeMethod
     public void start() {
       lab = new Lab();
@@ -56,17 +59,17 @@
     }
   }
 
-  /** One owner for each resource. */
+  /** Distribution of the resources among running instances. */
   public static final class Sharing extends TwoInstances {
 
-    /** Both instances together own each worker and endpoint exactly once. */
+    /** The two instances together own each worker and endpoint exactly once. */
     @Test
     public void eachResourceHasOneOwner() {
       assertEquals(slots(first) + slots(second), 8);
       assertEquals(workers(first) + workers(second), 4);
     }
 
-    /** A third instance takes only its own share; the others keep the rest without a pause. */
+    /** A third instance acquires only its own share; the others keep the rest throughout. */
     @Test
     public void joiningMovesOnlyTheNewShare() {
       Node third = lab.start("c:1");
@@ -77,12 +80,13 @@
     }
   }
 
-  /** An entry instance dies. */
+  /** Entry instances that are killed. */
   public static final class Killed extends TwoInstances {
 
     /**
-     * Callers see requests served again within the lease. The killed owner's lease runs out, the
-     * other removes it, waits until old orders have expired and reads what endpoints run.
+     * Guards against requests that stay unserved after their owner is killed. When its lease has
+     * expired, the other instance removes it from the members, waits until its orders have expired
+     * and reads what the endpoints run.
      */
     @Test
     public void survivorTakesOver() {
@@ -95,8 +99,9 @@
     }
 
     /**
-     * All instances die at once and are replaced at the same addresses. Whoever listens on an
-     * address proves that its predecessor is gone, so nobody waits for leases or the horizon.
+     * Guards against a needless wait after all instances are killed at once and replaced at the
+     * same addresses. A process that listens on an address proves that its predecessor has ended,
+     * so the new instances wait neither for the leases to end nor for the horizon to pass.
      */
     @Test
     public void successorsAtTheSameAddressesDoNotWait() {
@@ -110,13 +115,14 @@
     }
   }
 
-  /** An entry instance is paused past its lease. */
+  /** An entry instance that is paused for longer than its lease. */
   public static final class Paused extends TwoInstances {
 
     /**
-     * A task seems to run twice. The owner is paused past its lease, the other takes its workers,
-     * then the owner wakes with its old decisions. It must not give an order: its lease is checked
-     * before each, and its next renewal fails because the row is gone.
+     * Guards against a task that runs twice. The owner is paused for longer than its lease, the
+     * other instance acquires its workers, and the owner resumes with its old decisions. It must
+     * issue no order: its lease is checked before each one, and its next renewal fails because the
+     * lease row was deleted.
      */
     @Test
     public void resumedOwnerGivesNoOrderAndRejoins() {
@@ -136,9 +142,9 @@
     }
 
     /**
-     * A worker holds more than it can. Start orders of the old owner are still on the wire when the
-     * new owner fills the worker; they arrive last. They must be refused: they carry an expiry in
-     * the worker's own clock, and the new owner waited longer than that.
+     * Guards against an overloaded worker. Start orders of the old owner are still in transit while
+     * the new owner fills the worker, and arrive last. The worker must refuse them: they carry an
+     * expiry time in the worker's own clock, and the new owner has waited for longer than that.
      */
     @Test
     public void lateOrdersOfTheOldOwnerAreRefused() {
@@ -162,12 +168,13 @@
     }
   }
 
-  /** The store is away or out of reach. */
+  /** The store is unavailable to some or all instances. */
   public static final class StoreUnavailable extends TwoInstances {
 
     /**
-     * Callers of idempotent rows are served through an outage longer than many leases. Neither
-     * instance can renew; each promises the other not to take over, so both go on.
+     * Guards against an interruption of idempotent requests and tasks while the store is
+     * unavailable for many lease durations. Neither instance can renew its lease, but each promises
+     * the other not to take over, so both continue.
      */
     @Test
     public void promisesKeepRequestsAndTasksGoing() {
@@ -187,7 +194,10 @@
       assertNoViolations();
     }
 
-    /** Beyond the horizon nobody may act any more: a process outside the epoch waits just that. */
+    /**
+     * No instance may act beyond the horizon, because a process outside the epoch waits only until
+     * then before it takes over.
+     */
     @Test
     public void promisesEndAtTheHorizon() {
       first.storeUp = false;
@@ -201,9 +211,10 @@
     }
 
     /**
-     * Two owners of one endpoint. Both old instances have lost the store and cover each other; a
-     * fresh one has the store and sees two silent leases. It was never asked for a promise, so it
-     * must wait out the horizon before it takes anything.
+     * Guards against two owners of one endpoint. Two instances have lost the store and cover each
+     * other by promises. A new instance reaches the store and sees two leases that are not renewed.
+     * It was never asked for a promise, so it must wait until the horizon has passed before it
+     * acquires anything.
      */
     @Test
     public void freshInstanceWaitsOutTheHorizon() {
@@ -221,8 +232,9 @@
     }
 
     /**
-     * One instance is cut off from everything and cannot know whether it was replaced. It must stop
-     * within its lease, refuse truthfully, and the other takes over.
+     * One instance loses the store and all other instances and cannot know whether it was replaced.
+     * It must stop acting within its lease and answer new requests as not run, and the other
+     * instance takes over.
      */
     @Test
     public void isolatedInstanceStopsWithinItsLease() {
@@ -237,12 +249,13 @@
     }
   }
 
-  /** Cuts between some instances and the store or each other. */
+  /** Partitions between some instances and the store or each other, and changes of owners. */
   public static final class PartialPartitions extends TwoInstances {
 
     /**
-     * One endpoint, two owners. The first has lost the store and lives on the promise of the
-     * second, which sees a silent lease in the store; it keeps its promise and takes nothing.
+     * Guards against two owners of one endpoint. The first instance has lost the store and depends
+     * on the promise of the second, which sees in the store that the lease is not renewed. The
+     * second must keep its promise and acquire nothing.
      */
     @Test
     public void promisesAreKept() {
@@ -258,8 +271,9 @@
     }
 
     /**
-     * One endpoint, two owners. The first has lost the store and one of two others; only the other
-     * one promises. The third made no promise and removes it, so one promise must not be enough.
+     * Guards against two owners of one endpoint. The first instance has lost the store and the
+     * third instance, so only the second one promises. The third has made no promise and removes
+     * the first from the members, so one promise must not be enough.
      */
     @Test
     public void coverNeedsEveryPromise() {
@@ -279,9 +293,9 @@
     }
 
     /**
-     * An endpoint is overfilled when it changes hands. Requests its old owner sent last are still
-     * on the wire when the new owner reads what runs there; so the new owner first waits as long as
-     * they can be under way.
+     * Guards against an overloaded endpoint after a change of owners. The last requests of the old
+     * owner are still in transit when the new owner reads what runs there, so the new owner must
+     * first wait for as long as they can be in transit.
      */
     @Test
     public void newOwnerWaitsForRequestsInTransit() {
@@ -292,7 +306,7 @@
       }
     }
 
-    /** The wait itself: an order lifetime lies between the barrier and the first use. */
+    /** At least one order lifetime passes between the barrier and the first use of a resource. */
     @Test
     public void gainsWaitOneOrderLifetime() {
       Node third = lab.start("d:1");
@@ -323,12 +337,13 @@
     }
   }
 
-  /** Planned stops. */
+  /** Graceful shutdown. */
   public static final class Leaving extends TwoInstances {
 
     /**
-     * No caller loses an answer. The leaving instance refuses new requests as not run, finishes
-     * what it has, and gives its share back so that the other need not wait for its lease.
+     * Guards against answers lost by a graceful shutdown. The leaving instance refuses new requests
+     * as not run, finishes those in flight and releases its share, so that the other instance does
+     * not have to wait for the end of its lease.
      */
     @Test
     public void finishesWhatIsInFlight() {
@@ -343,8 +358,9 @@
     }
 
     /**
-     * A planned stop leaves a caller in doubt. The other instance hands requests over until the
-     * very moment this one ends; those still on their way must be refused as not run, not lost.
+     * Guards against a graceful shutdown that leaves a caller in doubt. The other instance forwards
+     * requests until this one ends. Those still in transit must be refused as not run instead of
+     * being lost.
      */
     @Test
     public void handedOverRequestsAreNotLost() {
@@ -372,7 +388,7 @@
       assertNoViolations();
     }
 
-    /** Tasks go on running while their owner is replaced. */
+    /** Tasks continue to run in their first attempt while their owner is replaced. */
     @Test
     public void tasksOutliveTheirOwner() {
       lab.submit(first, "t", "reconcile");
@@ -385,13 +401,13 @@
     }
   }
 
-  /** Workers that are owned by a process that died before it told them anything. */
+  /** Workers that get a new owner, or their first one. */
   public static final class WorkerHandover extends TwoInstances {
 
     /**
-     * A task was recorded as placed, and its owner died before the start order left. The successor
-     * reads the record and the worker, sees that the attempt is not there and cannot come any more,
-     * and places the task again.
+     * Guards against a task that never runs. It is recorded as placed, and its owner is killed
+     * before the start order is sent. The new owner reads the record and polls the worker, finds
+     * that the attempt is not running and can no longer arrive, and places the task again.
      */
     @Test
     public void recordedButNeverStartedAttemptIsPlacedAgain() {
@@ -412,8 +428,9 @@
     }
 
     /**
-     * A worker is filled twice. Its new owner polls it before it has read which tasks belong there;
-     * placing anything before that read is done would overfill it.
+     * Guards against a worker that is filled twice. Its new owner polls it before it has read the
+     * records of the tasks placed there, and a placement before that read has finished would
+     * overload the worker.
      */
     @Test
     public void nothingIsPlacedBeforeTheRecordsAreRead() {
@@ -428,7 +445,7 @@
       assertNoViolations();
     }
 
-    /** A worker added later is taken up without a change of members. */
+    /** A worker that is added later is acquired without a change of members. */
     @Test
     public void newWorkersAreAcquired() {
       FakeWorker added = lab.worker("w9", 64);
--- a/core/src/test/java/org/cottontack/core/table/TableTest.java
+++ b/core/src/test/java/org/cottontack/core/table/TableTest.java
@@ -11,19 +11,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Accepted edits are in force everywhere within seconds and never revert. */
+/** Tests that accepted edits reach all instances within seconds and are never reverted. */
 public final class TableTest {
 
   private TableTest() {}
 
-  /** A lab with two entry instances. */
+  /** A simulation with two entry instances. */
   public abstract static class TwoInstances {
 
     Lab lab;
     Node first;
     Node second;
 
-    /** Starts everything. */
+    /** Starts both instances. */
     @BeforeMethod
     public void start() {
       lab = new Lab();
@@ -42,10 +42,10 @@
     }
   }
 
-  /** Edits and their races. */
+  /** Single and concurrent edits. */
   public static final class Edits extends TwoInstances {
 
-    /** An accepted edit reaches every instance within seconds. */
+    /** An accepted edit is in force in every instance within three seconds. */
     @Test
     public void reachesEveryInstance() {
       edit(first, 1, 1, 7);
@@ -56,8 +56,9 @@
     }
 
     /**
-     * Two operators edit the same version at once. One edit is accepted; the other operator learns
-     * who came first and which rows differ, and nothing of the loser is in force.
+     * Guards against a mixture of two edits. Two operators edit the same version at the same time.
+     * One edit is accepted. The other is answered as stale, with the accepted version, its editor
+     * and the rows that differ, and no part of it comes into force.
      */
     @Test
     public void oneOfTwoConcurrentEditsWins() {
@@ -73,7 +74,10 @@
       assertEquals(first.state().table().record(), second.state().table().record());
     }
 
-    /** The answer to an accepted edit is lost; it is still accepted once and said so. */
+    /**
+     * Guards against an edit that is applied twice or answered wrongly because the response of the
+     * store was lost. The edit is applied once and answered as accepted.
+     */
     @Test
     public void lostAnswerDoesNotRepeatTheEdit() {
       first.storeAnswers = false;
@@ -85,7 +89,7 @@
       assertEquals(version(second), 2);
     }
 
-    /** A table with faults is refused whole and every fault is named. */
+    /** A table with faults is rejected as a whole, and all its faults are listed. */
     @Test
     public void everyFaultIsReported() {
       edit(first, 1, 1, 0);
@@ -96,10 +100,13 @@
     }
   }
 
-  /** Cuts and fresh processes. */
+  /** Partitions, delayed reads and new processes. */
   public static final class Partitions extends TwoInstances {
 
-    /** A cut-off instance keeps its last version, knows its age, and catches up afterwards. */
+    /**
+     * An instance cut off from the store and its peers keeps its last version, knows the age of
+     * that version and adopts the newest one afterwards.
+     */
     @Test
     public void partitionedInstanceCatchesUp() {
       second.storeUp = false;
@@ -115,7 +122,7 @@
       assertEquals(version(second), 2);
     }
 
-    /** A read that was long under way tells of an older version; it does not revert the newer. */
+    /** A delayed read of the pointer returns an older version, which must not replace the newer. */
     @Test
     public void lateReadsDoNotRevert() {
       second.scanDelay = 6_000;
@@ -128,7 +135,10 @@
       assertEquals(version(second), 2);
     }
 
-    /** Content that was long under way is older than what came meanwhile; it does not revert it. */
+    /**
+     * A delayed read of the content returns a version older than one adopted in the meantime, which
+     * it must not replace.
+     */
     @Test
     public void lateContentDoesNotRevert() {
       final Node fresh = lab.start("c:1");
@@ -143,7 +153,7 @@
       assertEquals(version(fresh), 2);
     }
 
-    /** A fresh process that cannot read the table serves nothing rather than an older one. */
+    /** A new process that cannot read the table refuses requests until it can. */
     @Test
     public void freshProcessWaitsForTheTable() {
       edit(first, 1, 1, 7);
