--- a/core/src/main/java/org/cottontack/core/table/TableReducer.java
+++ b/core/src/main/java/org/cottontack/core/table/TableReducer.java
@@ -16,17 +16,23 @@
 import org.cottontack.core.store.StoreKey;
 import org.cottontack.core.store.StoreRow;
 
-/** Accepts edits by one conditional write each and follows the newest version, never an older. */
+/**
+ * Accepts each edit by one conditional write and adopts the newest version of the table. A process
+ * never returns to an older version.
+ */
 public final class TableReducer {
 
-  /** Keeps the spread well inside the ten seconds promised, with one answer lost on the way. */
+  /**
+   * Interval between two checks for a newer version. Every process is promised to adopt an edit
+   * within ten seconds; this interval leaves a margin even if one response is lost.
+   */
   private static final long POLL_MILLIS = 2_000;
 
   private TableReducer() {}
 
-  private record Look() implements Purpose {}
+  private record ReadPointer() implements Purpose {}
 
-  private record Read() implements Purpose {}
+  private record ReadContent() implements Purpose {}
 
   private record Compare(Edit edit) implements Purpose {}
 
@@ -45,11 +51,11 @@
   }
 
   private static Step poll(State state, TableEvent.Poll event) {
-    return read(state).with(new Effect.After(POLL_MILLIS, event));
+    return readPointer(state).with(new Effect.After(POLL_MILLIS, event));
   }
 
-  private static Step read(State state) {
-    return Step.of(state, new StoreEffect.Scan(StoreKey.table().value(), new Look()));
+  private static Step readPointer(State state) {
+    return Step.of(state, new StoreEffect.Scan(StoreKey.table().value(), new ReadPointer()));
   }
 
   private static Step readContent(State state, long version, Purpose purpose) {
@@ -63,7 +69,7 @@
   }
 
   private static Step newerKnown(State state, TableEvent.NewerKnown event) {
-    return event.version() > state.table().version() ? read(state) : Step.of(state);
+    return event.version() > state.table().version() ? readPointer(state) : Step.of(state);
   }
 
   private static Step editAsked(State state, TableEvent.EditAsked event) {
@@ -103,6 +109,7 @@
         .orElseGet(() -> stale(state, edit, null));
   }
 
+  /** Rejects an edit and adopts the version that was accepted before it, if there is one. */
   private static Step stale(State state, Edit edit, TableRecord winner) {
     return adopt(state, winner)
         .then(s -> answer(s, edit.ticket(), TableEffect.Verdict.STALE, conflict(edit, winner)));
@@ -133,12 +140,12 @@
   }
 
   private static Step scanned(State state, StoreEvent.Scanned event) {
-    if (event.purpose() instanceof Look) {
+    if (event.purpose() instanceof ReadPointer) {
       return event.rows().stream()
           .map(StoreRow::value)
           .flatMap(TableReducer::pointer)
           .findFirst()
-          .map(pointer -> looked(state, pointer))
+          .map(pointer -> pointerRead(state, pointer))
           .orElseGet(() -> Step.of(state));
     }
     TableRecord seen =
@@ -150,20 +157,23 @@
     if (event.purpose() instanceof Compare compare) {
       return stale(state, compare.edit(), seen);
     }
-    return event.purpose() instanceof Read ? adopt(state, seen) : Step.of(state);
+    return event.purpose() instanceof ReadContent ? adopt(state, seen) : Step.of(state);
   }
 
-  private static Step looked(State state, TablePointer pointer) {
+  private static Step pointerRead(State state, TablePointer pointer) {
     long known = state.table().version();
     if (pointer.version() == known) {
       return Step.of(state.with(new TableState(state.table().record(), state.mono())));
     }
     return pointer.version() > known
-        ? readContent(state, pointer.version(), new Read())
+        ? readContent(state, pointer.version(), new ReadContent())
         : Step.of(state);
   }
 
-  /** A late answer may carry an older version; it is dropped, so an accepted edit never reverts. */
+  /**
+   * Puts a version into force, unless it is older than the current one. A delayed response may
+   * carry an older version; it is dropped, so that an accepted edit is never reverted.
+   */
   private static Step adopt(State state, TableRecord seen) {
     if (seen == null || seen.version() < state.table().version()) {
       return Step.of(state);
