--- a/core/src/main/java/org/cottontack/core/request/Admission.java
+++ b/core/src/main/java/org/cottontack/core/request/Admission.java
@@ -7,7 +7,7 @@
 import org.cottontack.core.table.RowSpec;
 import org.cottontack.core.table.TeamSpec;
 
-/** Decides on arrival whether a request is taken, before anything is written or sent. */
+/** Decides on arrival whether a request is accepted, before anything is written or sent. */
 final class Admission {
 
   private static final long LEAVING_RETRY_MILLIS = 1_000;
@@ -16,7 +16,7 @@
 
   private Admission() {}
 
-  /** Returns the refusal of a request, or nothing when it is taken. */
+  /** Returns the refusal of a request, or empty if the request is accepted. */
   static Optional<Answer> refusal(State state, RequestEvent.Arrived event) {
     if (state.ownership().phase() == OwnershipPhase.LEAVING
         || state.ownership().phase() == OwnershipPhase.LEFT) {
@@ -64,7 +64,11 @@
     return expectedWait(state, row) + mean > millisLeft(event, row);
   }
 
-  /** Requests ahead of one more of this row, by fair shares, times their mean over the slots. */
+  /**
+   * Returns the expected wait of a new request of this row in milliseconds: the row's waiting
+   * requests, slowed down by the fair shares of other rows with waiting requests, times the row's
+   * mean time at an endpoint, divided by the slots.
+   */
   private static double expectedWait(State state, RowSpec row) {
     RequestState requests = state.requests();
     RowShare share = requests.share(row.name());
@@ -90,7 +94,7 @@
         : Math.min(event.millisLeft(), row.deadlineMillis());
   }
 
-  /** Returns when the work that waits now will be done, as a hint for coming back. */
+  /** Returns the time until the requests that wait now are done, as a hint for retries. */
   static long retryAfter(State state) {
     int slots = Math.max(1, state.fleet().heldSlots());
     double work =
--- a/core/src/main/java/org/cottontack/core/request/Answer.java
+++ b/core/src/main/java/org/cottontack/core/request/Answer.java
@@ -5,10 +5,10 @@
 /**
  * The final answer to a request.
  *
- * @param code what happened
- * @param retryAfterMillis when to come back, 0 when coming back makes no sense
- * @param endpointStatus the endpoint's own status when it ran, otherwise 0
- * @param body the endpoint's whole answer when it ran, otherwise empty
+ * @param code the outcome
+ * @param retryAfterMillis delay before a retry, or 0 where a retry is useless
+ * @param endpointStatus the endpoint's own status if the request ran, otherwise 0
+ * @param body the endpoint's whole answer if the request ran, otherwise empty
  */
 public record Answer(Code code, long retryAfterMillis, int endpointStatus, Payload body) {
 
@@ -17,7 +17,7 @@
     return new Answer(code, retryAfterMillis, 0, Payload.EMPTY);
   }
 
-  /** Returns the endpoint's whole answer. */
+  /** Returns an answer with the endpoint's status and its whole body. */
   public static Answer ran(int endpointStatus, Payload body) {
     return new Answer(Code.OK, 0, endpointStatus, body);
   }
--- a/core/src/main/java/org/cottontack/core/request/ClaimRecord.java
+++ b/core/src/main/java/org/cottontack/core/request/ClaimRecord.java
@@ -7,23 +7,23 @@
 /**
  * The record that lets a non-idempotent request run at most once over all processes.
  *
- * @param phase how far it came
- * @param holder the incarnation that may send it to an endpoint
- * @param bodyHash tells a repeated request from another one with the same key
+ * @param phase the progress of the request
+ * @param holder incarnation of the entry instance that may send it to an endpoint
+ * @param bodyHash distinguishes a repeated request from another one with the same key
  * @param endpointStatus the endpoint's status once it answered
- * @param answer the endpoint's whole answer, or null when it was too large to keep
+ * @param answer the endpoint's whole answer, or null if it was too large to keep
  */
 public record ClaimRecord(
     Phase phase, InstanceId holder, String bodyHash, int endpointStatus, Payload answer)
     implements StoredValue {
 
-  /** How far a claimed request came. */
+  /** The progress of a claimed request. */
   public enum Phase {
-    /** May be sent, may be running, or may have run. */
+    /** The request may be sent, may be running, or may have run. */
     CLAIMED,
-    /** Was given up before it was sent: the next try may claim it again. */
+    /** The request was abandoned before it was sent, so a retry may claim it again. */
     RELEASED,
-    /** Ran, with this answer. */
+    /** The request ran, with this answer. */
     ANSWERED
   }
 
--- a/core/src/main/java/org/cottontack/core/request/Claiming.java
+++ b/core/src/main/java/org/cottontack/core/request/Claiming.java
@@ -11,38 +11,42 @@
 import org.cottontack.core.store.StoreRow;
 
 /**
- * Claims: one conditional write before a non-idempotent request may be sent, so that of all copies
- * of it, in all processes, at most one is sent.
+ * Claims non-idempotent requests. A claim is one conditional write that must take effect before the
+ * request may be sent, so that of all copies of the request, in all processes, at most one is sent.
  */
 final class Claiming {
 
-  /** Larger answers are not kept; a repeated request then learns only that it ran. */
+  /**
+   * Maximum size in bytes of an answer that is stored with its claim. A repeated request with a
+   * larger answer is told only that it ran.
+   */
   static final int MAX_KEPT_ANSWER = 8_192;
 
   private static final long IN_DOUBT_RETRY_MILLIS = 1_000;
-  private static final long LOOK_MILLIS = 100;
-  private static final int LOOKS = 4;
+  private static final long CONFLICT_POLL_MILLIS = 100;
+  private static final int MAX_CONFLICT_POLLS = 4;
 
   private Claiming() {}
 
   /**
-   * A claim.
+   * The write of a claim.
    *
    * @param request the request
-   * @param version the version its row gets
-   * @param tries looks that remain when another copy holds the claim
+   * @param version the version that the claim's row gets
+   * @param tries attempts that remain while another copy holds the claim
    */
   private record Claim(RequestId request, long version, int tries) implements Purpose {}
 
   private record Closing(RequestId request) implements Purpose {}
 
   static Step claim(State state, Request request) {
-    return write(state, request.at(Phase.CLAIMING), 0, LOOKS);
+    return write(state, request.at(Phase.CLAIMING), 0, MAX_CONFLICT_POLLS);
   }
 
   /**
-   * Another copy of the request may be about to end, or its claim about to be given back: the
-   * answer of that copy is worth a short wait, where "in doubt" would send the caller on a search.
+   * Tries to claim a request again whose claim another copy holds. That copy may be about to end or
+   * to release its claim. A short wait for its answer is better than an answer "in doubt", after
+   * which the caller would have to find out whether the request ran.
    */
   static Step claimAgain(State state, RequestEvent.ClaimAgain event) {
     Request request = state.requests().open().get(event.id());
@@ -71,14 +75,14 @@
     }
     Request request = state.requests().open().get(claim.request());
     if (request == null) {
-      return settledLate(state, claim, event.applied());
+      return settledAfterAnswer(state, claim, event.applied());
     }
     return event.applied()
         ? Dispatching.enqueue(state, request.claimed(claim.version()))
         : conflict(state, request, event.conflicts().get(0), claim.tries());
   }
 
-  private static Step settledLate(State state, Claim claim, boolean applied) {
+  private static Step settledAfterAnswer(State state, Claim claim, boolean applied) {
     Request request = state.requests().abandoned().get(claim.request());
     if (request == null) {
       return Step.of(state);
@@ -96,14 +100,16 @@
     }
     return switch (found.phase()) {
       case RELEASED -> write(state, request, row.version(), tries);
-      case CLAIMED -> tries > 0 ? lookLater(state, request, tries) : inDoubt(state, request);
+      case CLAIMED -> tries > 0 ? pollLater(state, request, tries) : inDoubt(state, request);
       case ANSWERED -> RequestReducer.finish(state, request, replay(found));
     };
   }
 
-  private static Step lookLater(State state, Request request, int tries) {
+  private static Step pollLater(State state, Request request, int tries) {
     return Step.of(
-        state, new Effect.After(LOOK_MILLIS, new RequestEvent.ClaimAgain(request.id(), tries - 1)));
+        state,
+        new Effect.After(
+            CONFLICT_POLL_MILLIS, new RequestEvent.ClaimAgain(request.id(), tries - 1)));
   }
 
   private static Step inDoubt(State state, Request request) {
@@ -117,30 +123,33 @@
   }
 
   /**
-   * The deadline came while the claim was being written. The request itself was never sent, so it
-   * did not run. If its claim takes effect all the same, it is released so that a retry can run.
+   * Abandons a request whose deadline came while its claim was being written. The request was never
+   * sent, so it did not run. If its claim takes effect afterwards, the claim is released so that a
+   * retry can run.
    */
-  static Step giveUp(State state, Request request) {
-    Predicate<Purpose> mine =
+  static Step abandon(State state, Request request) {
+    Predicate<Purpose> ofRequest =
         purpose -> purpose instanceof Claim claim && claim.request().equals(request.id());
     Step step =
         RequestReducer.finish(state, request, Answer.of(Code.STORE_AWAY, IN_DOUBT_RETRY_MILLIS));
-    if (state.store().hasWaiting(mine)) {
-      return step.then(s -> Step.of(s.with(s.store().withdraw(mine))));
+    if (state.store().hasWaiting(ofRequest)) {
+      return step.then(s -> Step.of(s.with(s.store().withdraw(ofRequest))));
     }
-    return state.store().hasInFlight(mine)
+    return state.store().hasInFlight(ofRequest)
         ? step.then(s -> Step.of(s.with(s.requests().abandon(request))))
         : step;
   }
 
-  /** Gives a claim back for a request that was never sent. */
+  /** Releases the claim of a request that was never sent. */
   static Step release(State state, Request request) {
     return request.claimVersion() == 0
         ? Step.of(state)
         : close(state, request, claimOf(state, request).released());
   }
 
-  /** Records the answer, so that a repeated request gets it instead of running again. */
+  /**
+   * Records the answer in the claim, so that a repeated request gets it instead of running again.
+   */
   static Step record(State state, Request request, Answer answer) {
     if (request.claimVersion() == 0) {
       return Step.of(state);
--- a/core/src/main/java/org/cottontack/core/request/Code.java
+++ b/core/src/main/java/org/cottontack/core/request/Code.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The stable codes of answers, each with its HTTP status and what it says about the work. */
+/** The stable codes of answers, each with its HTTP status and whether the request ran. */
 public enum Code {
   /** The endpoint's whole answer. */
   OK(200, Ran.RAN, "the request ran"),
   /** The request ran before; its answer was too large to keep. */
   ANSWER_NOT_KEPT(410, Ran.RAN, "the request ran before, but its answer was too large to keep"),
-  /** The request is not understood. */
+  /** The request is malformed. */
   BAD_REQUEST(400, Ran.NOT_RUN, "the request is not understood"),
-  /** The row is not in the table. */
+  /** The row is not in the table or is not a service row. */
   UNKNOWN_ROW(404, Ran.NOT_RUN, "the table has no such service row"),
   /** The row needs an idempotency key. */
   KEY_REQUIRED(400, Ran.NOT_RUN, "this row is not idempotent: send an Idempotency-Key"),
@@ -22,19 +22,19 @@
   DEADLINE_PASSED(400, Ran.NOT_RUN, "the deadline had passed on arrival"),
   /** A limit of the row or the team is reached. */
   OVER_LIMIT(429, Ran.NOT_RUN, "the row or its team is at its limit"),
-  /** The wait would be longer than the deadline. */
+  /** The expected wait is longer than the time left until the deadline. */
   OVERLOADED(503, Ran.NOT_RUN, "no slot will be free before the deadline"),
-  /** No endpoint can be used from here. */
+  /** No endpoint can be used by this instance. */
   NO_ENDPOINT(503, Ran.NOT_RUN, "no endpoint can be used from here now"),
-  /** The platform's store is needed and does not answer. */
+  /** The request needs the platform's store, which does not answer. */
   STORE_AWAY(503, Ran.NOT_RUN, "the store that records such requests does not answer"),
   /** This process has no table yet. */
   NO_TABLE(503, Ran.NOT_RUN, "this instance has no table yet"),
   /** This process is stopping. */
   LEAVING(503, Ran.NOT_RUN, "this instance is stopping"),
-  /** The deadline came before a slot did. */
+  /** The deadline came before a slot was free. */
   DEADLINE_IN_QUEUE(504, Ran.NOT_RUN, "the deadline came before a slot was free"),
-  /** A request with this key was accepted before and its outcome is not known here. */
+  /** A request with this key was accepted before, and this instance does not know its outcome. */
   IN_DOUBT(409, Ran.UNKNOWN, "a request with this key may be running or may have run"),
   /** The deadline came while the endpoint had the request. */
   DEADLINE_AT_ENDPOINT(504, Ran.UNKNOWN, "the deadline came while the endpoint had the request"),
@@ -43,12 +43,12 @@
 
   private final int status;
   private final Ran ran;
-  private final String sentence;
+  private final String message;
 
-  Code(int status, Ran ran, String sentence) {
+  Code(int status, Ran ran, String message) {
     this.status = status;
     this.ran = ran;
-    this.sentence = sentence;
+    this.message = message;
   }
 
   /** Returns the HTTP status. */
@@ -56,22 +56,22 @@
     return status;
   }
 
-  /** Returns what the code says about the work. */
+  /** Returns whether the request ran. */
   public Ran ran() {
     return ran;
   }
 
-  /** Returns one sentence for a person. */
-  public String sentence() {
-    return sentence;
+  /** Returns a message for people. */
+  public String message() {
+    return message;
   }
 
-  /** Returns the word callers see. */
+  /** Returns the name of this code for callers. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the code for a word. */
+  /** Returns the code with a name that callers use. */
   public static Optional<Code> forWord(String word) {
     return Stream.of(values()).filter(code -> code.word().equals(word)).findFirst();
   }
--- a/core/src/main/java/org/cottontack/core/request/Dispatching.java
+++ b/core/src/main/java/org/cottontack/core/request/Dispatching.java
@@ -9,11 +9,11 @@
 import org.cottontack.core.id.AttemptId;
 import org.cottontack.core.id.RowName;
 
-/** Gives waiting requests to free slots and turns what comes back into final answers. */
+/** Assigns waiting requests to free slots and turns the results into final answers. */
 final class Dispatching {
 
   private static final long DOUBT_RETRY_MILLIS = 1_000;
-  private static final int FIRST_SERVER_FAULT = 500;
+  private static final int FIRST_SERVER_ERROR = 500;
   private static final double MAX_EJECTED_SHARE = 0.5;
 
   private Dispatching() {}
@@ -34,7 +34,7 @@
     return dispatchWaiting(state.with(next));
   }
 
-  /** Hands out free slots, the row furthest behind its weight first, until none is left. */
+  /** Assigns free slots until none is left, first to the row that is furthest behind its weight. */
   static Step dispatchWaiting(State state) {
     Step step = Step.of(state);
     while (true) {
@@ -57,15 +57,16 @@
   }
 
   /**
-   * A handed-over request cannot be handed on. Where no endpoint is left for it, it goes back at
-   * once as not run: waiting here until its deadline would leave its caller in doubt, because the
-   * instance that sent it cannot tell waiting from running.
+   * Sends a request to an endpoint or forwards it. A request that another instance forwarded cannot
+   * be forwarded again. Where no endpoint is left for it, it is returned at once as not run: if it
+   * waited here until its deadline, its caller would be left in doubt, because the instance that
+   * forwarded it cannot distinguish waiting from running.
    */
   private static Optional<Step> place(State state, Request request) {
     boolean usable = state.ownership().mayAct(state.mono()) && state.fleet().heldSlots() > 0;
     if (request.origin() != null && !usable) {
-      Answer back = Answer.of(Code.NO_ENDPOINT, DOUBT_RETRY_MILLIS);
-      return Optional.of(RequestReducer.finish(state, request, back));
+      Answer refusal = Answer.of(Code.NO_ENDPOINT, DOUBT_RETRY_MILLIS);
+      return Optional.of(RequestReducer.finish(state, request, refusal));
     }
     if (!state.ownership().mayAct(state.mono())) {
       return Forwarding.forward(state, request);
@@ -75,7 +76,10 @@
         .orElseGet(() -> Forwarding.forward(state, request));
   }
 
-  /** This process alone uses the slots of endpoints it holds, so its own count is exact. */
+  /**
+   * Returns the cheapest endpoint with a free slot. The count of free slots is exact, because only
+   * this process uses the slots of the endpoints that it holds.
+   */
   private static Optional<EndpointView> choose(State state) {
     return state.fleet().endpoints().values().stream()
         .filter(endpoint -> endpoint.free(state.mono()) > 0)
@@ -88,7 +92,7 @@
         request.sentBy(
             Phase.AT_ENDPOINT, new Request.Sent(attempt, endpoint.id(), null, state.mono()));
     State next = state.with(state.fleet().with(endpoint.started(attempt, state.mono())));
-    next = next.with(taken(next, request).sent(sent));
+    next = next.with(dequeueAndCharge(next, request).sent(sent));
     return Step.of(
         next,
         new RequestEffect.Dispatch(
@@ -105,8 +109,8 @@
     return new AttemptId(state.ownership().self() + "-" + state.requests().nextAttempt());
   }
 
-  /** Takes a request out of its row's queue and charges the row. */
-  static RequestState taken(State state, Request request) {
+  /** Removes a request from its row's queue and charges the row for the service. */
+  static RequestState dequeueAndCharge(State state, Request request) {
     RowName row = request.row().name();
     RowShare share =
         state
@@ -118,12 +122,12 @@
   }
 
   static Step answered(State state, RequestEvent.EndpointAnswered event) {
-    boolean good = event.status() < FIRST_SERVER_FAULT;
-    Optional<Request> request = state.requests().of(event.attempt());
-    State next = freeSlot(state, event.attempt(), good);
+    boolean succeeded = event.status() < FIRST_SERVER_ERROR;
+    Optional<Request> request = state.requests().openRequestOf(event.attempt());
+    State next = freeSlot(state, event.attempt(), succeeded);
     Answer answer = Answer.ran(event.status(), event.body());
     if (request.isEmpty()) {
-      return late(next, event.attempt(), answer).then(Dispatching::dispatchWaiting);
+      return answeredLate(next, event.attempt(), answer).then(Dispatching::dispatchWaiting);
     }
     return measured(next, request.get())
         .then(s -> RequestReducer.finish(s, request.get(), answer))
@@ -131,18 +135,18 @@
         .then(Dispatching::dispatchWaiting);
   }
 
-  private static State freeSlot(State state, AttemptId attempt, boolean good) {
-    return holder(state, attempt)
+  private static State freeSlot(State state, AttemptId attempt, boolean succeeded) {
+    return endpointOf(state, attempt)
         .map(
             endpoint -> {
               long millis = state.mono() - endpoint.busy().get(attempt);
-              EndpointView freed = endpoint.answered(attempt, millis, good);
-              return state.with(state.fleet().with(good ? freed : countFailure(state, freed)));
+              EndpointView freed = endpoint.answered(attempt, millis, succeeded);
+              return state.with(state.fleet().with(succeeded ? freed : countFailure(state, freed)));
             })
         .orElse(state);
   }
 
-  private static Optional<EndpointView> holder(State state, AttemptId attempt) {
+  private static Optional<EndpointView> endpointOf(State state, AttemptId attempt) {
     return state.fleet().endpoints().values().stream()
         .filter(endpoint -> endpoint.busy().containsKey(attempt))
         .findFirst();
@@ -154,7 +158,10 @@
     return Step.of(state.with(state.requests().with(row, share)));
   }
 
-  /** At most half of the endpoints are ejected, or a fault of the callers would eject them all. */
+  /**
+   * Counts a failure of an endpoint unless more than half of the endpoints would then be ejected.
+   * If there were no such limit, faulty requests of callers could eject all endpoints.
+   */
   private static EndpointView countFailure(State state, EndpointView endpoint) {
     List<EndpointView> held =
         state.fleet().endpoints().values().stream().filter(EndpointView::held).toList();
@@ -163,7 +170,7 @@
   }
 
   static Step failed(State state, RequestEvent.EndpointFailed event) {
-    Optional<Request> request = state.requests().of(event.attempt());
+    Optional<Request> request = state.requests().openRequestOf(event.attempt());
     State freed = endpointFailed(forget(state, event.attempt()), event);
     return request.isEmpty()
         ? dispatchWaiting(freed)
@@ -173,12 +180,12 @@
   private static State forget(State state, AttemptId attempt) {
     RequestState requests = state.requests();
     RequestState resolved =
-        requests.lateOf(attempt).map(r -> requests.resolved(r.id())).orElse(requests);
+        requests.abandonedRequestOf(attempt).map(r -> requests.resolved(r.id())).orElse(requests);
     return state.with(resolved.forget(attempt));
   }
 
   private static State endpointFailed(State state, RequestEvent.EndpointFailed event) {
-    return holder(state, event.attempt())
+    return endpointOf(state, event.attempt())
         .map(
             endpoint -> {
               EndpointView next =
@@ -191,8 +198,9 @@
   }
 
   /**
-   * A request of which nothing left may be tried again whatever its kind. One that left is tried
-   * again only when its row is idempotent; otherwise its outcome is unknown and said so at once.
+   * Retries or answers a request after a failed dispatch. If no byte of it left this process, it
+   * may be retried whatever its kind. Otherwise it may be retried only if its row is idempotent;
+   * any other request may have run, and its caller is told at once that the outcome is unknown.
    */
   static Step afterFailure(State state, Request request, boolean sent) {
     boolean safe = !sent || request.row().idempotent();
@@ -209,9 +217,12 @@
         .then(Dispatching::dispatchWaiting);
   }
 
-  /** The caller has its answer, but a repeated request must learn that this one ran. */
-  static Step late(State state, AttemptId attempt, Answer answer) {
-    Optional<Request> request = state.requests().lateOf(attempt);
+  /**
+   * Records an endpoint's answer that arrives after the caller got the final one, so that a
+   * repeated request is answered as one that ran.
+   */
+  static Step answeredLate(State state, AttemptId attempt, Answer answer) {
+    Optional<Request> request = state.requests().abandonedRequestOf(attempt);
     State next = state.with(state.requests().forget(attempt));
     return request
         .map(r -> recordLate(next.with(next.requests().resolved(r.id())), r, answer))
@@ -224,7 +235,10 @@
         : Step.of(state, Forwarding.reply(request.origin(), answer));
   }
 
-  /** The endpoint may go on: its slot stays taken until an answer or a report frees it. */
+  /**
+   * Answers a request whose deadline came while an endpoint had it. The endpoint may still run it,
+   * so its slot stays occupied until an answer or a report frees it.
+   */
   static Step deadline(State state, Request request) {
     Answer answer = Answer.of(Code.DEADLINE_AT_ENDPOINT, DOUBT_RETRY_MILLIS);
     Step step = RequestReducer.finish(state, request, answer);
--- a/core/src/main/java/org/cottontack/core/request/Forwarding.java
+++ b/core/src/main/java/org/cottontack/core/request/Forwarding.java
@@ -16,24 +16,28 @@
 import org.cottontack.core.peer.PeerMessage;
 import org.pcollections.PMap;
 
-/** Hands a request to another entry instance of the data centre that has a free slot. */
+/** Forwards requests to other entry instances of the data centre that have free slots. */
 final class Forwarding {
 
   private static final long REPORT_MILLIS = 100;
-  private static final long QUIET_REPORT_MILLIS = 1_000;
-  private static final long MAX_RETURN_MILLIS = 200;
-  private static final long RETURN_SHARE = 10;
+  private static final long IDLE_REPORT_MILLIS = 1_000;
+  private static final long MAX_RETURN_MARGIN_MILLIS = 200;
+  private static final long RETURN_MARGIN_DIVISOR = 10;
 
-  /** Numbers of forwarded requests stand apart from those of this process's own callers. */
+  /** First number of forwarded requests; keeps them distinct from requests of own callers. */
   private static final long FORWARDED_BASE = 1L << 62;
 
   private Forwarding() {}
 
-  /** Told at once when it changed, otherwise now and then, so that rest costs little. */
+  /**
+   * Reports the free slots to the other entry instances: at the next check after a change, and
+   * otherwise rarely, so that an idle instance sends few messages.
+   */
   static Step reportDue(State state) {
-    PeerLoad told = state.requests().reported();
+    PeerLoad lastReport = state.requests().reported();
     int slots = slotsToOffer(state);
-    boolean due = slots != told.freeSlots() || state.mono() - told.at() >= QUIET_REPORT_MILLIS;
+    boolean due =
+        slots != lastReport.freeSlots() || state.mono() - lastReport.at() >= IDLE_REPORT_MILLIS;
     Step step = due ? report(state, slots) : Step.of(state);
     return step.with(new Effect.After(REPORT_MILLIS, new RequestEvent.ReportDue()));
   }
@@ -45,25 +49,25 @@
             .flatMap(peer -> state.ownership().addressOf(peer).stream())
             .map(address -> new PeerEffect.Send(address, report))
             .toArray(Effect[]::new);
-    PeerLoad told = new PeerLoad("", slots, state.mono());
-    return Step.of(state.with(state.requests().reporting(told)), sends);
+    PeerLoad lastReport = new PeerLoad("", slots, state.mono());
+    return Step.of(state.with(state.requests().withReported(lastReport)), sends);
   }
 
   private static int slotsToOffer(State state) {
-    boolean takes =
+    boolean accepts =
         state.ownership().phase() == OwnershipPhase.MEMBER
             && state.ownership().mayAct(state.mono());
-    return takes ? state.fleet().freeSlots(state.mono()) : 0;
+    return accepts ? state.fleet().freeSlots(state.mono()) : 0;
   }
 
-  /** A forwarded request is never forwarded again, so it cannot travel in circles. */
+  /** Forwards a request, unless it was already forwarded: it must not circle between instances. */
   static Optional<Step> forward(State state, Request request) {
     return request.origin() != null
         ? Optional.empty()
-        : freest(state).map(entry -> forwardTo(state, request, entry));
+        : peerWithMostFreeSlots(state).map(entry -> forwardTo(state, request, entry));
   }
 
-  private static Optional<Map.Entry<InstanceId, PeerLoad>> freest(State state) {
+  private static Optional<Map.Entry<InstanceId, PeerLoad>> peerWithMostFreeSlots(State state) {
     return state.requests().peers().entrySet().stream()
         .filter(entry -> entry.getValue().usable(state.mono()))
         .filter(entry -> state.ownership().others().contains(entry.getKey()))
@@ -80,7 +84,7 @@
     Request sent =
         request.sentBy(Phase.AT_PEER, new Request.Sent(attempt, null, address, state.mono()));
     PMap<InstanceId, PeerLoad> peers =
-        state.requests().peers().plus(peer.getKey(), peer.getValue().taken());
+        state.requests().peers().plus(peer.getKey(), peer.getValue().withOneSlotUsed());
     PeerMessage message =
         new PeerMessage.Forward(
             attempt,
@@ -90,13 +94,16 @@
             millisToOffer(request.deadline() - state.mono()),
             request.body());
     return Step.of(
-        state.with(Dispatching.taken(state, request).sent(sent).with(peers)),
+        state.with(Dispatching.dequeueAndCharge(state, request).sent(sent).with(peers)),
         new PeerEffect.Send(address, message));
   }
 
-  /** Less than is left here, so that a refusal for the deadline's sake comes back before it. */
+  /**
+   * Returns the deadline for the other instance. It is shorter than the time left here, so that a
+   * refusal because of the deadline arrives before the deadline of this instance.
+   */
   private static long millisToOffer(long left) {
-    return left - Math.min(MAX_RETURN_MILLIS, left / RETURN_SHARE);
+    return left - Math.min(MAX_RETURN_MARGIN_MILLIS, left / RETURN_MARGIN_DIVISOR);
   }
 
   static Step received(State state, PeerEvent.Received event) {
@@ -104,7 +111,7 @@
       return reported(state, event, report);
     }
     if (event.message() instanceof PeerMessage.Forward forward) {
-      return take(state, event.address(), forward);
+      return forwardReceived(state, event.address(), forward);
     }
     if (event.message() instanceof PeerMessage.Forwarded answer) {
       return answered(state, answer);
@@ -118,7 +125,7 @@
     return Dispatching.dispatchWaiting(state.with(state.requests().with(peers)));
   }
 
-  private static Step take(State state, String from, PeerMessage.Forward forward) {
+  private static Step forwardReceived(State state, String from, PeerMessage.Forward forward) {
     RequestId id = new RequestId(FORWARDED_BASE + state.requests().nextAttempt());
     Request.Origin origin = new Request.Origin(from, forward.attempt());
     RequestEvent.Arrived arrived =
@@ -130,13 +137,13 @@
             "",
             forward.millisLeft() > 0 ? forward.millisLeft() : -1,
             forward.body());
-    State next = state.with(state.requests().numbered());
+    State next = state.with(state.requests().withNextAttempt());
     return Admission.refusal(next, arrived)
         .map(answer -> Step.of(next, reply(origin, answer)))
         .orElseGet(() -> RequestReducer.admit(next, Admission.open(next, arrived, origin)));
   }
 
-  /** Returns the message that gives a forwarded request's final answer to where it came from. */
+  /** Returns the message that sends the final answer of a forwarded request to its origin. */
   static Effect reply(Request.Origin origin, Answer answer) {
     return new PeerEffect.Send(
         origin.address(),
@@ -149,7 +156,7 @@
   }
 
   private static Step answered(State state, PeerMessage.Forwarded message) {
-    Optional<Request> request = state.requests().of(message.attempt());
+    Optional<Request> request = state.requests().openRequestOf(message.attempt());
     Optional<Code> code = Code.forWord(message.code());
     if (code.isEmpty()) {
       return Step.of(state);
@@ -158,28 +165,28 @@
         new Answer(
             code.get(), message.retryAfterMillis(), message.endpointStatus(), message.body());
     return request
-        .map(r -> settle(state, r, answer))
-        .orElseGet(() -> settleLate(state, message.attempt(), answer));
+        .map(r -> resolve(state, r, answer))
+        .orElseGet(() -> resolveLate(state, message.attempt(), answer));
   }
 
-  private static Step settle(State state, Request request, Answer answer) {
+  private static Step resolve(State state, Request request, Answer answer) {
     return switch (answer.code().ran()) {
       case RAN ->
           RequestReducer.finish(state, request, answer)
               .then(s -> Claiming.record(s, request, answer));
       case UNKNOWN -> inDoubt(state, request, answer);
       case NOT_RUN ->
-          Dispatching.afterFailure(full(forget(state, request), request), request, false);
+          Dispatching.afterFailure(markFull(forget(state, request), request), request, false);
     };
   }
 
-  /** An instance that refused takes nothing more until it reports again. */
-  private static State full(State state, Request request) {
+  /** Sends nothing more to an instance that refused a request until it reports again. */
+  private static State markFull(State state, Request request) {
     PMap<InstanceId, PeerLoad> peers = state.requests().peers();
     for (Map.Entry<InstanceId, PeerLoad> entry : peers.entrySet()) {
       PeerLoad load = entry.getValue();
       boolean refused = load.address().equals(request.sent().peer());
-      peers = refused ? peers.plus(entry.getKey(), load.none()) : peers;
+      peers = refused ? peers.plus(entry.getKey(), load.withoutFreeSlots()) : peers;
     }
     return state.with(state.requests().with(peers));
   }
@@ -191,9 +198,9 @@
         : step.then(s -> Step.of(s.with(state.requests().closeAwaiting(request))));
   }
 
-  private static Step settleLate(State state, AttemptId attempt, Answer answer) {
+  private static Step resolveLate(State state, AttemptId attempt, Answer answer) {
     return answer.code().ran() == Ran.RAN
-        ? Dispatching.late(state, attempt, answer)
+        ? Dispatching.answeredLate(state, attempt, answer)
         : Step.of(state);
   }
 
@@ -201,25 +208,28 @@
     return state.with(state.requests().forget(request.sent().attempt()));
   }
 
-  /** Nothing of the message left this process, so the request can go elsewhere. */
+  /** Retries a forwarded request that was not delivered; no byte of it left this process. */
   static Step undelivered(State state, PeerEvent.Undelivered event) {
     return event.message() instanceof PeerMessage.Forward forward
         ? state
             .requests()
-            .of(forward.attempt())
+            .openRequestOf(forward.attempt())
             .map(r -> Dispatching.afterFailure(forget(state, r), r, false))
             .orElseGet(() -> Step.of(state))
         : Step.of(state);
   }
 
-  /** Whatever was handed to that instance and has no answer yet may have run. */
+  /**
+   * Handles a lost connection to another instance. Requests that were forwarded to it and have no
+   * answer yet may have run.
+   */
   static Step lost(State state, PeerEvent.Lost event) {
-    List<Request> there =
+    List<Request> sentToPeer =
         state.requests().open().values().stream()
             .filter(request -> request.phase() == Phase.AT_PEER)
             .filter(request -> event.address().equals(request.sent().peer()))
             .toList();
     State kept = state.with(state.requests().dropAwaiting(event.address()));
-    return Step.fold(kept, there, (s, r) -> Dispatching.afterFailure(forget(s, r), r, true));
+    return Step.fold(kept, sentToPeer, (s, r) -> Dispatching.afterFailure(forget(s, r), r, true));
   }
 }
--- a/core/src/main/java/org/cottontack/core/request/PeerLoad.java
+++ b/core/src/main/java/org/cottontack/core/request/PeerLoad.java
@@ -1,26 +1,26 @@
 package org.cottontack.core.request;
 
 /**
- * What another entry instance last said it could take, less what was sent there since.
+ * The free slots that another entry instance last reported, minus the requests sent to it since.
  *
- * @param address where it is reached
- * @param freeSlots slots left
+ * @param address the address of that instance
+ * @param freeSlots free slots that are left
  * @param at monotonic time of its report
  */
 record PeerLoad(String address, int freeSlots, long at) {
 
-  /** An older report is not acted on. */
+  /** Maximum age of a report; older reports are ignored. */
   private static final long MAX_AGE_MILLIS = 2_500;
 
   boolean usable(long now) {
     return freeSlots > 0 && now - at <= MAX_AGE_MILLIS;
   }
 
-  PeerLoad none() {
+  PeerLoad withoutFreeSlots() {
     return new PeerLoad(address, 0, at);
   }
 
-  PeerLoad taken() {
+  PeerLoad withOneSlotUsed() {
     return new PeerLoad(address, freeSlots - 1, at);
   }
 }
--- a/core/src/main/java/org/cottontack/core/request/Phase.java
+++ b/core/src/main/java/org/cottontack/core/request/Phase.java
@@ -1,6 +1,6 @@
 package org.cottontack.core.request;
 
-/** Where a request stands in this process. */
+/** The phase of a request in this process. */
 public enum Phase {
   /** Its claim is being written. */
   CLAIMING,
--- a/core/src/main/java/org/cottontack/core/request/Ran.java
+++ b/core/src/main/java/org/cottontack/core/request/Ran.java
@@ -4,21 +4,21 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Whether the work of a request ran; the three are never merged. */
+/** Whether a request ran. No outcome is ever reported as another one. */
 public enum Ran {
-  /** It ran once and this is its whole answer. */
+  /** It ran once, and the answer is complete. */
   RAN,
-  /** It did not run and will not run because of this request. */
+  /** It did not run and will not run later because of this request. */
   NOT_RUN,
   /** It may have run. */
   UNKNOWN;
 
-  /** Returns the word callers see. */
+  /** Returns the name of this outcome for callers. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the outcome for a word. */
+  /** Returns the outcome with a name that callers use. */
   public static Optional<Ran> forWord(String word) {
     return Stream.of(values()).filter(ran -> ran.word().equals(word)).findFirst();
   }
--- a/core/src/main/java/org/cottontack/core/request/Request.java
+++ b/core/src/main/java/org/cottontack/core/request/Request.java
@@ -12,16 +12,16 @@
  * A request that has no final answer yet.
  *
  * @param id number in this process
- * @param caller who asks
- * @param row its row as it stood on arrival
+ * @param caller the caller that sent it
+ * @param row its row at the time of arrival
  * @param key idempotency key, or empty
  * @param bodyHash hash of the body, for comparing with a claim
- * @param body passed to the endpoint as it came
+ * @param body body, passed to the endpoint unchanged
  * @param deadline monotonic time by which the caller wants an answer
  * @param origin the entry instance that forwarded it and holds its claim, or null for a caller
- * @param phase where it stands
- * @param claimVersion version of its claim row once that is ours, 0 before
- * @param sent the dispatch under way, or null
+ * @param phase its phase in this process
+ * @param claimVersion version of its claim row once this process holds the claim, 0 before
+ * @param sent the dispatch in progress, or null
  */
 public record Request(
     RequestId id,
@@ -37,20 +37,20 @@
     Sent sent) {
 
   /**
-   * Where a forwarded request came from.
+   * The origin of a forwarded request.
    *
-   * @param address the entry instance
-   * @param attempt its dispatch
+   * @param address the address of the entry instance that forwarded it
+   * @param attempt the dispatch of that instance
    */
   public record Origin(String address, AttemptId attempt) {}
 
   /**
-   * A dispatch.
+   * A dispatch of a request.
    *
-   * @param attempt its identifier
-   * @param endpoint the endpoint, or null when it went to another entry instance
-   * @param peer that entry instance's address, or null
-   * @param at monotonic time
+   * @param attempt identifier of the dispatch
+   * @param endpoint the endpoint, or null if the request was sent to another entry instance
+   * @param peer the address of that entry instance, or null
+   * @param at monotonic time of the dispatch
    */
   public record Sent(AttemptId attempt, EndpointId endpoint, String peer, long at) {}
 
--- a/core/src/main/java/org/cottontack/core/request/RequestEffect.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestEffect.java
@@ -7,19 +7,19 @@
 import org.cottontack.core.id.RowName;
 import org.cottontack.core.peer.Payload;
 
-/** What the request part does outside. */
+/** Effects of requests on endpoints and callers. */
 public interface RequestEffect extends Effect {
 
   /**
-   * Sends a request to an endpoint, at once or never.
+   * Sends a request to an endpoint, either at once or not at all.
    *
    * @param attempt this dispatch
    * @param endpoint the endpoint
    * @param address {@code host:port}
    * @param row the row
    * @param millisLeft time left until the deadline
-   * @param validUntil monotonic time from which it must not be sent any more, because this process
-   *     may have lost the endpoint; checked again right before the first byte
+   * @param validUntil monotonic time from which it must not be sent, because this process may have
+   *     lost the endpoint; checked again immediately before the first byte is sent
    * @param body the body
    */
   record Dispatch(
--- a/core/src/main/java/org/cottontack/core/request/RequestEvent.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestEvent.java
@@ -11,14 +11,14 @@
 public interface RequestEvent extends Event {
 
   /**
-   * A caller's request.
+   * A request arrived from a caller.
    *
    * @param id a number not used before in this process
-   * @param caller who asks
-   * @param row the row it is for
+   * @param caller the caller
+   * @param row the row of the request
    * @param key idempotency key, or empty
    * @param bodyHash hash of the body
-   * @param millisLeft time until the deadline, or 0 for the row's own
+   * @param millisLeft time until the deadline, or 0 for the deadline of the row
    * @param body the body
    */
   record Arrived(
@@ -32,7 +32,8 @@
       implements RequestEvent {}
 
   /**
-   * An endpoint's whole answer, already checked to belong to the attempt.
+   * An endpoint's whole answer. The sender of this event has checked that it belongs to the
+   * attempt.
    *
    * @param attempt the dispatch
    * @param status the endpoint's HTTP status
@@ -49,10 +50,10 @@
   record EndpointFailed(AttemptId attempt, boolean sent) implements RequestEvent {}
 
   /**
-   * Time to look again whether another copy of a request has an outcome.
+   * Time to check again whether another copy of a request has an outcome.
    *
    * @param id the request
-   * @param tries looks that remain after this one
+   * @param tries checks that remain after this one
    */
   record ClaimAgain(RequestId id, int tries) implements RequestEvent {}
 
@@ -63,6 +64,6 @@
    */
   record DeadlineCame(RequestId id) implements RequestEvent {}
 
-  /** Time to tell the other entry instances of the data centre what is free here. */
+  /** Time to report free slots to the other entry instances of the data centre. */
   record ReportDue() implements RequestEvent {}
 }
--- a/core/src/main/java/org/cottontack/core/request/RequestReducer.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestReducer.java
@@ -10,14 +10,14 @@
 import org.cottontack.core.store.StoreEvent;
 
 /**
- * The way of a request: admission, claim when it is not idempotent, queue, dispatch, one final
- * answer. See {@code docs/design/3-requests.md}.
+ * Handles the events of requests: admission, the claim of a request that is not idempotent, queue,
+ * dispatch and one final answer. See {@code docs/design/3-requests.md}.
  */
 public final class RequestReducer {
 
   private RequestReducer() {}
 
-  /** Returns the handlers of this part. */
+  /** Returns the handlers of request events. */
   public static Handlers handlers() {
     return new Handlers()
         .on(OwnershipEvent.Start.class, (state, event) -> Forwarding.reportDue(state))
@@ -54,8 +54,8 @@
   }
 
   /**
-   * The final answer goes out at once in every phase. Only a request that was never handed to an
-   * endpoint or another instance is refused as not run.
+   * Sends the final answer at once when the deadline comes, whatever the phase. Only a request that
+   * was never sent to an endpoint or another instance is refused as not run.
    */
   private static Step deadlineCame(State state, RequestEvent.DeadlineCame event) {
     Request request = state.requests().open().get(event.id());
@@ -63,7 +63,7 @@
       return Step.of(state);
     }
     return switch (request.phase()) {
-      case CLAIMING -> Claiming.giveUp(state, request);
+      case CLAIMING -> Claiming.abandon(state, request);
       case QUEUED ->
           finish(state, request, Answer.of(Code.DEADLINE_IN_QUEUE, Admission.retryAfter(state)))
               .then(s -> Claiming.release(s, request));
--- a/core/src/main/java/org/cottontack/core/request/RequestState.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestState.java
@@ -12,16 +12,16 @@
 import org.pcollections.PMap;
 
 /**
- * Requests in this process.
+ * The requests in this process.
  *
  * @param open requests without a final answer
- * @param byAttempt which request a dispatch belongs to
+ * @param byAttempt the request that each dispatch belongs to
  * @param shares waiting requests and service received, by row
- * @param teamOpen open requests by team
+ * @param teamOpen number of open requests, by team
  * @param abandoned requests whose callers have an answer while the outcome of their claim's write
  *     or of their run is still awaited
- * @param peers what other entry instances can take
- * @param reported what was last told to other entry instances
+ * @param peers free slots of other entry instances
+ * @param reported the last report to other entry instances
  * @param nextAttempt number of the next dispatch
  * @param retryTokens retries that may still be made
  */
@@ -36,12 +36,12 @@
     long nextAttempt,
     double retryTokens) {
 
-  /** Retries are bounded by a share of requests, so that they cannot feed an overload. */
+  /** Retries per request; the bound prevents retries from aggravating an overload. */
   static final double RETRY_RATIO = 0.1;
 
   private static final double MAX_RETRY_TOKENS = 10;
 
-  /** Nothing open. */
+  /** A state without requests. */
   public static final RequestState EMPTY =
       new RequestState(
           HashTreePMap.empty(),
@@ -59,8 +59,8 @@
     return byAttempt.containsKey(attempt);
   }
 
-  /** Returns the request a dispatch belongs to. */
-  Optional<Request> of(AttemptId attempt) {
+  /** Returns the open request that a dispatch belongs to. */
+  Optional<Request> openRequestOf(AttemptId attempt) {
     return Optional.ofNullable(byAttempt.get(attempt)).map(open::get);
   }
 
@@ -72,7 +72,7 @@
     return teamOpen.getOrDefault(team, 0);
   }
 
-  /** Returns waiting requests of all rows. */
+  /** Returns the number of waiting requests of all rows. */
   public int waiting() {
     return shares.values().stream().mapToInt(share -> share.waiting().size()).sum();
   }
@@ -148,16 +148,19 @@
         open, byAttempt, shares, teamOpen, abandoned, loads, reported, nextAttempt, retryTokens);
   }
 
-  RequestState reporting(PeerLoad told) {
+  RequestState withReported(PeerLoad report) {
     return new RequestState(
-        open, byAttempt, shares, teamOpen, abandoned, peers, told, nextAttempt, retryTokens);
+        open, byAttempt, shares, teamOpen, abandoned, peers, report, nextAttempt, retryTokens);
   }
 
   RequestState abandon(Request request) {
     return withAbandoned(abandoned.plus(request.id(), request));
   }
 
-  /** Closes a request whose run is still awaited, so that its claim gets the outcome. */
+  /**
+   * Closes a request whose run may still complete, and keeps it as abandoned, so that its outcome
+   * can be recorded in its claim.
+   */
   RequestState closeAwaiting(Request request) {
     RequestState closed = close(request);
     return new RequestState(
@@ -172,17 +175,17 @@
         retryTokens);
   }
 
-  /** Returns the request a dispatch belongs to whose caller already has an answer. */
-  Optional<Request> lateOf(AttemptId attempt) {
+  /** Returns the abandoned request that a dispatch belongs to; its caller already has an answer. */
+  Optional<Request> abandonedRequestOf(AttemptId attempt) {
     return Optional.ofNullable(byAttempt.get(attempt)).map(abandoned::get);
   }
 
-  /** Gives up late outcomes that only a lost entry instance could have told. */
+  /** Stops waiting for outcomes that only a lost entry instance could have reported. */
   RequestState dropAwaiting(String peer) {
     RequestState state = this;
     for (Request request : abandoned.values()) {
-      boolean there = request.phase() == Phase.AT_PEER && peer.equals(request.sent().peer());
-      state = there ? state.resolved(request.id()).forget(request.sent().attempt()) : state;
+      boolean sentToPeer = request.phase() == Phase.AT_PEER && peer.equals(request.sent().peer());
+      state = sentToPeer ? state.resolved(request.id()).forget(request.sent().attempt()) : state;
     }
     return state;
   }
@@ -222,7 +225,7 @@
         retryTokens);
   }
 
-  RequestState numbered() {
+  RequestState withNextAttempt() {
     return new RequestState(
         open,
         byAttempt,
--- a/core/src/main/java/org/cottontack/core/request/RowShare.java
+++ b/core/src/main/java/org/cottontack/core/request/RowShare.java
@@ -8,8 +8,9 @@
  * One row's waiting requests and the service it received, for start-time fair queueing (Goyal, Vin
  * and Cheng, 1996).
  *
- * @param waiting oldest first; sorted, because a long queue must not make each departure dear
- * @param served service received, divided by weight
+ * @param waiting waiting requests, oldest first; a sorted set, so that removals stay cheap in a
+ *     long queue
+ * @param served service received, divided by the row's weight
  * @param open requests without a final answer
  * @param meanMillis moving mean of the time its requests take at an endpoint
  */
@@ -28,13 +29,16 @@
     return new RowShare(waiting, served, open - 1, meanMillis);
   }
 
-  /** A row that comes back after a pause starts level with the others, without saved-up service. */
+  /**
+   * Adds a request to the queue. A row without waiting requests starts at the level of the others,
+   * so that it has no claim to service that it did not use during a pause.
+   */
   RowShare enqueue(RequestId id, double level) {
     double start = waiting.isEmpty() ? Math.max(served, level) : served;
     return new RowShare(waiting.plus(id), start, open, meanMillis);
   }
 
-  /** A request that goes back has an older number, and with it its old place. */
+  /** Puts a request back into the queue, at its old position because it keeps its number. */
   RowShare enqueueAgain(RequestId id) {
     return new RowShare(waiting.plus(id), served, open, meanMillis);
   }
--- a/core/src/main/java/org/cottontack/core/request/package-info.java
+++ b/core/src/main/java/org/cottontack/core/request/package-info.java
@@ -1,2 +1,2 @@
-/** Requests: admission, claims, routing, and the three outcomes. */
+/** Admission, claims, routing and the three outcomes of requests. */
 package org.cottontack.core.request;
--- a/core/src/main/java/org/cottontack/core/task/Demand.java
+++ b/core/src/main/java/org/cottontack/core/task/Demand.java
@@ -5,13 +5,13 @@
 /**
  * An amount of a worker's resources.
  *
- * @param cpuMillis processor, in thousandths of a core
+ * @param cpuMillis processor time, in thousandths of a core
  * @param memoryMb memory, in MiB
- * @param accelerators whole accelerators
+ * @param accelerators number of whole accelerators
  */
 public record Demand(int cpuMillis, int memoryMb, int accelerators) {
 
-  /** Nothing. */
+  /** Zero in every dimension. */
   public static final Demand NONE = new Demand(0, 0, 0);
 
   /** Returns the sum of two amounts. */
@@ -35,7 +35,7 @@
         && accelerators <= capacity.accelerators;
   }
 
-  /** Returns the fullest dimension as a share of a capacity, from 0 up. */
+  /** Returns the largest share of a capacity over all dimensions; 1 is full, more is too much. */
   public double shareOf(Demand capacity) {
     return Stream.of(
             share(cpuMillis, capacity.cpuMillis),
--- a/core/src/main/java/org/cottontack/core/task/Loading.java
+++ b/core/src/main/java/org/cottontack/core/task/Loading.java
@@ -24,26 +24,29 @@
 import org.pcollections.HashTreePSet;
 import org.pcollections.PSet;
 
-/** Reads task records: all of them when workers are gained, then bucket by bucket and on notice. */
+/**
+ * Reads task records from the store: all of them when workers are gained, afterwards one bucket at
+ * a time, and single records when another instance sends a notice.
+ */
 final class Loading {
 
   private static final long SWEEP_MILLIS = 500;
-  private static final long KEEP_NOTICED_MILLIS = 5_000;
+  private static final long NOTICED_RETENTION_MILLIS = 5_000;
 
   private Loading() {}
 
   /**
-   * All live tasks of the data centre.
+   * A read of all live tasks of the data centre.
    *
-   * @param owned workers owned when the read was asked for
+   * @param owned workers owned when the read was requested
    */
-  private record All(PSet<WorkerId> owned) implements Purpose {}
+  private record AllTasks(PSet<WorkerId> owned) implements Purpose {}
 
   private record Bucket() implements Purpose {}
 
-  private record One(TaskId task) implements Purpose {}
+  private record SingleTask(TaskId task) implements Purpose {}
 
-  private record Stray(WorkerId worker, RunReport report) implements Purpose {}
+  private record Orphan(WorkerId worker, RunReport report) implements Purpose {}
 
   static Step loadAll(State state) {
     PSet<WorkerId> owned =
@@ -51,13 +54,14 @@
             state.fleet().ownedWorkers().map(WorkerView::id).collect(Collectors.toSet()));
     return Step.of(
         state,
-        new StoreEffect.Scan(StoreKey.tasksPrefix(state.settings().dataCentre()), new All(owned)));
+        new StoreEffect.Scan(
+            StoreKey.tasksPrefix(state.settings().dataCentre()), new AllTasks(owned)));
   }
 
-  /** Reads one of this instance's buckets; finds tasks whose notice was lost. */
+  /** Reads the next of this instance's buckets, to find tasks whose notice was lost. */
   static Step sweepDue(State state, TaskEvent.SweepDue event) {
-    State dropped = state.with(dropOthers(state));
-    return Step.of(dropped, new Effect.After(SWEEP_MILLIS, event)).then(Loading::sweep);
+    State remaining = state.with(dropTasksOfOthers(state));
+    return Step.of(remaining, new Effect.After(SWEEP_MILLIS, event)).then(Loading::sweep);
   }
 
   private static Step sweep(State state) {
@@ -91,20 +95,20 @@
     return "bucket/" + bucket;
   }
 
-  private static TaskState dropOthers(State state) {
+  private static TaskState dropTasksOfOthers(State state) {
     TaskState tasks = state.tasks();
     for (TaskView view : state.tasks().tasks().values()) {
-      boolean idle = view.doing() != TaskView.Doing.WRITING;
-      tasks = idle && !concerns(state, view) ? tasks.remove(view.record().id()) : tasks;
+      boolean idle = view.activity() != TaskView.Activity.WRITING;
+      tasks = idle && !isResponsibleFor(state, view) ? tasks.remove(view.record().id()) : tasks;
     }
     return tasks;
   }
 
-  private static boolean concerns(State state, TaskView view) {
-    return state.mono() < view.keepUntil() || concerns(state, view.record());
+  private static boolean isResponsibleFor(State state, TaskView view) {
+    return state.mono() < view.keepUntil() || isResponsibleFor(state, view.record());
   }
 
-  private static boolean concerns(State state, TaskRecord record) {
+  private static boolean isResponsibleFor(State state, TaskRecord record) {
     if (record.phase() == TaskPhase.PLACED) {
       WorkerView worker = state.fleet().workers().get(record.worker());
       return worker != null && worker.owned();
@@ -121,26 +125,26 @@
         state.with(
             tasks
                 .withLoaded(tasks.loaded().minus(event.worker()))
-                .forgetting(event.worker(), HashTreePSet.empty())
-                .withStrays(event.worker(), HashTreePSet.empty())));
+                .withToForget(event.worker(), HashTreePSet.empty())
+                .withOrphans(event.worker(), HashTreePSet.empty())));
   }
 
-  /** Tells the instance that looks after a waiting task's bucket about it. */
-  static Step tell(State state, TaskId task) {
+  /** Notifies the instance that owns the bucket of a waiting task. */
+  static Step notifyBucketOwner(State state, TaskId task) {
     OwnershipState own = state.ownership();
     String bucket = bucketName(StoreKey.bucketOf(task));
     return own.owns(bucket)
         ? read(state, task)
         : Rendezvous.owner(bucket, own.assignment().members().keySet())
-            .map(owner -> notice(state, owner, task))
+            .map(owner -> sendNotice(state, owner, task))
             .orElseGet(() -> Step.of(state));
   }
 
-  static Step tellOthers(State state, TaskId task) {
-    return Step.fold(state, state.ownership().others(), (s, other) -> notice(s, other, task));
+  static Step notifyOthers(State state, TaskId task) {
+    return Step.fold(state, state.ownership().others(), (s, other) -> sendNotice(s, other, task));
   }
 
-  static Step notice(State state, InstanceId to, TaskId task) {
+  static Step sendNotice(State state, InstanceId to, TaskId task) {
     StoreKey key = StoreKey.task(state.settings().dataCentre(), task);
     return state
         .ownership()
@@ -151,81 +155,84 @@
         .orElseGet(() -> Step.of(state));
   }
 
-  static Step noticed(State state, PeerEvent.Received event) {
+  static Step noticeReceived(State state, PeerEvent.Received event) {
     if (!(event.message() instanceof PeerMessage.TaskNotice notice)) {
       return Step.of(state);
     }
     String key = notice.key().value();
     TaskId task = new TaskId(key.substring(key.lastIndexOf('/') + 1));
     TaskView known = state.tasks().tasks().get(task);
-    boolean followed = known != null && known.doing() != TaskView.Doing.NOTHING;
-    return followed ? Step.of(state) : read(state, task);
+    boolean inProgress = known != null && known.activity() != TaskView.Activity.NOTHING;
+    return inProgress ? Step.of(state) : read(state, task);
   }
 
   /** Reads the record of one live task. */
   static Step read(State state, TaskId task) {
     StoreKey key = StoreKey.task(state.settings().dataCentre(), task);
-    return Step.of(state, new StoreEffect.Scan(key.value(), new One(task)));
+    return Step.of(state, new StoreEffect.Scan(key.value(), new SingleTask(task)));
   }
 
-  /** Looks up an attempt that a worker has and no known record explains. */
-  static Step readStray(State state, WorkerId worker, RunReport report) {
+  /**
+   * Reads the record of a task for which a worker reports an attempt that no loaded record allows.
+   */
+  static Step readOrphan(State state, WorkerId worker, RunReport report) {
     StoreKey key = StoreKey.task(state.settings().dataCentre(), report.run().task());
-    PSet<Run> strays = state.tasks().strays(worker).plus(report.run());
+    PSet<Run> orphans = state.tasks().orphans(worker).plus(report.run());
     return Step.of(
-        state.with(state.tasks().withStrays(worker, strays)),
-        new StoreEffect.Scan(key.value(), new Stray(worker, report)));
+        state.with(state.tasks().withOrphans(worker, orphans)),
+        new StoreEffect.Scan(key.value(), new Orphan(worker, report)));
   }
 
   static Step scanned(State state, StoreEvent.Scanned event) {
-    if (event.purpose() instanceof All all) {
+    if (event.purpose() instanceof AllTasks all) {
       return loadedAll(state, all, event.rows());
     }
     if (event.purpose() instanceof Bucket) {
-      return tellWorkerOwners(merge(state, event.rows(), 0), event.rows());
+      return notifyWorkerOwners(merge(state, event.rows(), 0), event.rows());
     }
-    if (event.purpose() instanceof One one) {
-      State merged = merge(state, exactly(state, one.task(), event.rows()), keepUntil(state));
+    if (event.purpose() instanceof SingleTask single) {
+      State merged = merge(state, rowsOfTask(state, single.task(), event.rows()), keepUntil(state));
       return Step.of(merged);
     }
-    if (event.purpose() instanceof Stray stray) {
-      return resolveStray(state, stray, event.rows());
+    if (event.purpose() instanceof Orphan orphan) {
+      return resolveOrphan(state, orphan, event.rows());
     }
     return Step.of(state);
   }
 
   /**
-   * A placement may take effect after its writer lost the worker and after the new owner read the
-   * records: no start order follows, and the new owner does not know. Without this notice such a
-   * task would wait for ever.
+   * Notifies the owners of workers that placed tasks of a bucket belong to. A placement may take
+   * effect after its writer lost the worker and after the worker's new owner read the records. The
+   * writer then sends no start order and the new owner does not know the placement, so without this
+   * notice the task would wait indefinitely.
    */
-  private static Step tellWorkerOwners(State state, List<StoreRow> rows) {
+  private static Step notifyWorkerOwners(State state, List<StoreRow> rows) {
     List<TaskRecord> elsewhere =
         rows.stream()
             .map(row -> (TaskRecord) row.value())
             .filter(record -> record.phase() == TaskPhase.PLACED)
-            .filter(record -> !concerns(state, record))
+            .filter(record -> !isResponsibleFor(state, record))
             .toList();
-    return Step.fold(state, elsewhere, Loading::tellWorkerOwner);
+    return Step.fold(state, elsewhere, Loading::notifyWorkerOwner);
   }
 
-  private static Step tellWorkerOwner(State state, TaskRecord record) {
+  private static Step notifyWorkerOwner(State state, TaskRecord record) {
     return Rendezvous.owner(
             WorkerView.resource(record.worker()), state.ownership().assignment().members().keySet())
-        .map(owner -> notice(state, owner, record.id()))
+        .map(owner -> sendNotice(state, owner, record.id()))
         .orElseGet(() -> Step.of(state));
   }
 
   private static long keepUntil(State state) {
-    return state.mono() + KEEP_NOTICED_MILLIS;
+    return state.mono() + NOTICED_RETENTION_MILLIS;
   }
 
-  private static List<StoreRow> exactly(State state, TaskId task, List<StoreRow> rows) {
+  private static List<StoreRow> rowsOfTask(State state, TaskId task, List<StoreRow> rows) {
     StoreKey key = StoreKey.task(state.settings().dataCentre(), task);
     return rows.stream().filter(row -> row.key().equals(key)).toList();
   }
 
-  private static Step loadedAll(State state, All all, List<StoreRow> rows) {
+  private static Step loadedAll(State state, AllTasks all, List<StoreRow> rows) {
     State merged = merge(state, rows, 0);
     PSet<WorkerId> loaded = merged.tasks().loaded();
     List<WorkerId> stillOwned =
@@ -238,25 +245,25 @@
     for (StoreRow row : rows) {
       TaskRecord record = (TaskRecord) row.value();
       TaskView known = tasks.tasks().get(record.id());
-      boolean wanted = state.mono() < keepUntil || concerns(state, record);
+      boolean needed = state.mono() < keepUntil || isResponsibleFor(state, record);
       boolean newer =
           known == null
-              || (known.doing() != TaskView.Doing.WRITING && row.version() > known.version());
-      if (wanted && newer) {
+              || (known.activity() != TaskView.Activity.WRITING && row.version() > known.version());
+      if (needed && newer) {
         tasks = tasks.put(TaskView.loaded(record, row.version(), keepUntil));
       }
     }
     return state.with(tasks);
   }
 
-  private static Step resolveStray(State state, Stray stray, List<StoreRow> rows) {
-    Run run = stray.report().run();
-    WorkerView worker = state.fleet().workers().get(stray.worker());
-    State next = removeStray(state, stray.worker(), run);
+  private static Step resolveOrphan(State state, Orphan orphan, List<StoreRow> rows) {
+    Run run = orphan.report().run();
+    WorkerView worker = state.fleet().workers().get(orphan.worker());
+    State next = removeOrphan(state, orphan.worker(), run);
     if (worker == null || !worker.owned()) {
       return Step.of(next);
     }
-    List<StoreRow> live = exactly(state, run.task(), rows);
+    List<StoreRow> live = rowsOfTask(state, run.task(), rows);
     boolean allowed =
         live.stream()
             .map(row -> (TaskRecord) row.value())
@@ -264,13 +271,13 @@
     if (allowed) {
       return Step.of(merge(next, live, 0));
     }
-    // The record allows another attempt or none: this one must not go on.
-    return stray.report().status() == RunReport.Status.RUNNING
-        ? Watching.stop(next, worker, run)
+    // The record allows another attempt or none, so this one must not continue.
+    return orphan.report().status() == RunReport.Status.RUNNING
+        ? WorkerPolling.stop(next, worker, run)
         : Step.of(Transition.forget(next, worker.id(), run));
   }
 
-  private static State removeStray(State state, WorkerId worker, Run run) {
-    return state.with(state.tasks().withStrays(worker, state.tasks().strays(worker).minus(run)));
+  private static State removeOrphan(State state, WorkerId worker, Run run) {
+    return state.with(state.tasks().withOrphans(worker, state.tasks().orphans(worker).minus(run)));
   }
 }
--- a/core/src/main/java/org/cottontack/core/task/Placing.java
+++ b/core/src/main/java/org/cottontack/core/task/Placing.java
@@ -13,14 +13,17 @@
 import org.cottontack.core.table.RowSpec;
 import org.cottontack.core.table.TeamSpec;
 
-/** Chooses workers for waiting tasks and orders the start once the placement is recorded. */
+/** Chooses workers for waiting tasks and orders their starts once the placement is recorded. */
 final class Placing {
 
   private static final long PLACE_MILLIS = 100;
-  private static final long ASK_OTHERS_MILLIS = 1_000;
-  private static final long LIST_SETTLED_MILLIS = 5_000;
+  private static final long NOTIFY_OTHERS_MILLIS = 1_000;
+  private static final long LIST_STABLE_MILLIS = 5_000;
 
-  /** Most placements recorded in one round, so that a wave cannot starve other writes. */
+  /**
+   * Maximum placements recorded in one round, so that many tasks at once cannot starve other
+   * writes.
+   */
   private static final int MAX_PLACEMENTS = 16;
 
   private static final Comparator<TaskView> ORDER =
@@ -66,7 +69,7 @@
     }
     return choose(state, record)
         .map(worker -> placeOn(state, view, worker))
-        .orElseGet(() -> askAnother(state, view));
+        .orElseGet(() -> notifyAnother(state, view));
   }
 
   private static Step placeOn(State state, TaskView view, WorkerView worker) {
@@ -74,13 +77,17 @@
     return Transition.write(state, view, view.record().placed(worker.id(), lease));
   }
 
-  /** Judged against every listed worker, free or not, and only once the list had time to settle. */
+  /**
+   * Returns whether a task is larger than the whole capacity of every listed worker, used or not.
+   * This is decided only {@value #LIST_STABLE_MILLIS} ms after the submission, because the list of
+   * workers may be incomplete before.
+   */
   private static boolean neverFits(State state, TaskRecord record) {
-    boolean settled =
+    boolean listStable =
         state.fleet().listedAt() >= 0
             && !state.fleet().workers().isEmpty()
-            && state.now().wall() - record.submittedAt() >= LIST_SETTLED_MILLIS;
-    return settled
+            && state.now().wall() - record.submittedAt() >= LIST_STABLE_MILLIS;
+    return listStable
         && state.fleet().workers().values().stream()
             .noneMatch(worker -> record.demand().fitsIn(worker.capacity()));
   }
@@ -102,7 +109,7 @@
   private static boolean usable(State state, WorkerView worker, TaskRecord record) {
     return worker.takesTasks(state.mono())
         && state.tasks().loaded().contains(worker.id())
-        && state.tasks().strays(worker.id()).isEmpty()
+        && state.tasks().orphans(worker.id()).isEmpty()
         && !record.failedOn().contains(worker.id())
         && !(worker.onProbation() && state.tasks().on(worker.id()).findAny().isPresent());
   }
@@ -128,11 +135,14 @@
     List<TaskView> running =
         state.tasks().tasks().values().stream().filter(v -> v.occupies() != null).toList();
     long ofRow = running.stream().filter(v -> v.record().row().equals(record.row())).count();
-    return ofRow >= row.get().maxInFlight() || overTeam(state, record, team.get(), running);
+    return ofRow >= row.get().maxInFlight() || overTeamQuota(state, record, team.get(), running);
   }
 
-  /** Each member uses its even share of a team's quota, and at least one task at a time. */
-  private static boolean overTeam(
+  /**
+   * Returns whether a task would exceed its team's quota or this instance's part of it. Each member
+   * may use an equal share of the quota, and may always run one task of the team within the quota.
+   */
+  private static boolean overTeamQuota(
       State state, TaskRecord record, TeamSpec team, List<TaskView> running) {
     int members = Math.max(1, state.ownership().assignment().members().size());
     int used =
@@ -140,33 +150,36 @@
             .filter(v -> sameTeam(v, team.name()))
             .mapToInt(v -> v.record().demand().cpuMillis())
             .sum();
-    int wanted = used + record.demand().cpuMillis();
-    return wanted > team.maxCpuMillis() || (used > 0 && wanted > team.maxCpuMillis() / members);
+    int needed = used + record.demand().cpuMillis();
+    return needed > team.maxCpuMillis() || (used > 0 && needed > team.maxCpuMillis() / members);
   }
 
   private static boolean sameTeam(TaskView view, TeamId team) {
     return view.record().team().equals(team);
   }
 
-  /** A task that fits no worker of this instance is shown to the others, one after another. */
-  private static Step askAnother(State state, TaskView view) {
-    boolean due = state.mono() - view.orderedAt() >= ASK_OTHERS_MILLIS;
+  /**
+   * Notifies another instance of a task that fits no worker of this one. The others are notified in
+   * turn, one every {@value #NOTIFY_OTHERS_MILLIS} ms.
+   */
+  private static Step notifyAnother(State state, TaskView view) {
+    boolean due = state.mono() - view.orderedAt() >= NOTIFY_OTHERS_MILLIS;
     List<InstanceId> others = state.ownership().others().stream().sorted().toList();
     if (!due || others.isEmpty() || state.mono() < view.keepUntil()) {
       return Step.of(state);
     }
-    long turn = state.mono() / ASK_OTHERS_MILLIS;
+    long turn = state.mono() / NOTIFY_OTHERS_MILLIS;
     InstanceId other = others.get((int) Math.floorMod(turn, (long) others.size()));
-    TaskView asked = view.ordered(TaskView.Doing.NOTHING, state.mono());
-    return Loading.notice(state.with(state.tasks().put(asked)), other, view.record().id());
+    TaskView notified = view.ordered(TaskView.Activity.NOTHING, state.mono());
+    return Loading.sendNotice(state.with(state.tasks().put(notified)), other, view.record().id());
   }
 
-  /** Orders the start of a recorded attempt, if this process may still act for the worker. */
+  /** Orders the start of a recorded attempt if this process may still send orders to the worker. */
   static Step start(State state, TaskView view) {
     TaskRecord record = view.record();
     WorkerView worker = state.fleet().workers().get(record.worker());
-    boolean may = worker != null && worker.owned() && state.ownership().mayAct(state.mono());
-    if (!may) {
+    boolean allowed = worker != null && worker.owned() && state.ownership().mayAct(state.mono());
+    if (!allowed) {
       return Step.of(state);
     }
     long expiresAt = state.mono() + worker.clockOffset() + state.settings().orderLifetime();
@@ -183,26 +196,29 @@
             record.checkpoint(),
             record.demand(),
             record.leaseMillis());
-    TaskView starting = view.ordered(TaskView.Doing.STARTING, state.mono());
+    TaskView starting = view.ordered(TaskView.Activity.STARTING, state.mono());
     return Step.of(state.with(state.tasks().put(starting)), order);
   }
 
-  /** A refused start is known not to run; a lost answer is left to the worker's next reports. */
+  /**
+   * Handles a worker's answer to a start order. A refused attempt does not run, so its task is
+   * queued again. Where the answer is lost, the worker's next reports decide.
+   */
   static Step startAnswered(State state, WorkerEvent.StartAnswered event) {
     TaskView view = state.tasks().tasks().get(event.run().task());
     boolean current =
         view != null
-            && view.doing() == TaskView.Doing.STARTING
+            && view.activity() == TaskView.Activity.STARTING
             && view.record().run().equals(event.run());
     if (!current) {
       return Step.of(state);
     }
     if (event.accepted()) {
       return Step.of(
-          state.with(state.tasks().put(view.doing(TaskView.Doing.RUNNING))),
+          state.with(state.tasks().put(view.activity(TaskView.Activity.RUNNING))),
           new Effect.Note("task.started", event.run().toString(), "worker " + event.worker()));
     }
-    return Transition.write(state, view, view.record().queuedAgain(view.checkpoint()))
+    return Transition.write(state, view, view.record().requeued(view.checkpoint()))
         .with(new Effect.Note("task.start_refused", event.run().toString(), event.reason()));
   }
 }
--- a/core/src/main/java/org/cottontack/core/task/Run.java
+++ b/core/src/main/java/org/cottontack/core/task/Run.java
@@ -6,7 +6,7 @@
  * One attempt of a task.
  *
  * @param task the task
- * @param attempt the attempt, from 1
+ * @param attempt number of the attempt, from 1
  */
 public record Run(TaskId task, int attempt) {
 
--- a/core/src/main/java/org/cottontack/core/task/RunReport.java
+++ b/core/src/main/java/org/cottontack/core/task/RunReport.java
@@ -5,33 +5,33 @@
 import java.util.stream.Stream;
 
 /**
- * What a worker says of one attempt.
+ * A worker's report on one attempt.
  *
  * @param run the attempt
- * @param status how it is doing
- * @param usage what it uses, lagging
+ * @param status its status
+ * @param usage resources that it uses; the measurement lags behind
  * @param checkpoint its newest complete checkpoint, or null
  * @param outcome its result or the reason of its failure, or null
  */
 public record RunReport(Run run, Status status, Demand usage, String checkpoint, String outcome) {
 
-  /** How an attempt is doing. */
+  /** The status of an attempt on its worker. */
   public enum Status {
     /** It runs. */
     RUNNING,
-    /** It ran to its end. */
+    /** It ran to completion. */
     FINISHED,
     /** It failed. */
     FAILED,
-    /** It was stopped by an order or because its lease lapsed. */
+    /** It was stopped by an order or because its lease expired. */
     STOPPED;
 
-    /** Returns the word of the workers' interface. */
+    /** Returns the name of this status in the workers' interface. */
     public String word() {
       return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns the status for a word. */
+    /** Returns the status with a name of the workers' interface. */
     public static Optional<Status> forWord(String word) {
       return Stream.of(values()).filter(status -> status.word().equals(word)).findFirst();
     }
--- a/core/src/main/java/org/cottontack/core/task/TaskEffect.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskEffect.java
@@ -7,33 +7,33 @@
 import org.cottontack.core.id.WorkerId;
 import org.cottontack.core.request.Ran;
 
-/** What the task part does outside. */
+/** Effects of tasks on callers and workers. */
 public interface TaskEffect extends Effect {
 
   /**
    * The final answer to a submission, query or cancellation.
    *
-   * @param ticket as asked
-   * @param verdict what became of it
-   * @param record the task as known, or null
+   * @param ticket the ticket of the submission, query or cancellation
+   * @param verdict its outcome
+   * @param record the task's last known record, or null
    */
   record Answered(long ticket, Verdict verdict, TaskRecord record) implements TaskEffect {}
 
-  /** What became of a submission, query or cancellation. */
+  /** The outcome of a submission, query or cancellation. */
   enum Verdict {
-    /** It was done, or had been done before. */
+    /** It was carried out now or had been before. */
     DONE(200, Ran.RAN, "done", 0),
     /** There is no such task. */
     NO_SUCH_TASK(404, Ran.NOT_RUN, "there is no such task", 0),
-    /** The row is not in the table or is no batch row. */
+    /** The row is not in the table or is not a batch row. */
     UNKNOWN_ROW(404, Ran.NOT_RUN, "the table has no such batch row", 0),
     /** Another task has this identifier. */
     ID_TAKEN(409, Ran.NOT_RUN, "another task has this id", 0),
-    /** This instance is stopping or has no table. */
+    /** This instance is stopping or has no table yet. */
     NOT_READY(503, Ran.NOT_RUN, "this instance is starting or stopping", 1_000),
     /** The store did not answer, and nothing was written. */
     STORE_AWAY(503, Ran.NOT_RUN, "the store does not answer, nothing was written", 1_000),
-    /** The store did not answer; the change may take effect. Asking again is safe. */
+    /** The store did not answer, so the change may take effect. A retry is safe. */
     IN_DOUBT(
         504,
         Ran.UNKNOWN,
@@ -42,13 +42,13 @@
 
     private final int status;
     private final Ran ran;
-    private final String sentence;
+    private final String message;
     private final long retryAfterMillis;
 
-    Verdict(int status, Ran ran, String sentence, long retryAfterMillis) {
+    Verdict(int status, Ran ran, String message, long retryAfterMillis) {
       this.status = status;
       this.ran = ran;
-      this.sentence = sentence;
+      this.message = message;
       this.retryAfterMillis = retryAfterMillis;
     }
 
@@ -57,36 +57,36 @@
       return status;
     }
 
-    /** Returns whether what was asked took effect. */
+    /** Returns whether the submission, query or cancellation took effect. */
     public Ran ran() {
       return ran;
     }
 
-    /** Returns one sentence for a person. */
-    public String sentence() {
-      return sentence;
+    /** Returns a message for people. */
+    public String message() {
+      return message;
     }
 
-    /** Returns when to come back, 0 when coming back makes no sense. */
+    /** Returns the delay before a retry, or 0 where a retry is useless. */
     public long retryAfterMillis() {
       return retryAfterMillis;
     }
 
-    /** Returns the stable word callers see. */
+    /** Returns the stable name of this verdict for callers. */
     public String word() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /**
-   * Asks a worker what it runs and renews the leases of some attempts.
+   * Polls a worker for its attempts and renews the leases of some of them.
    *
    * @param worker the worker
    * @param address {@code host:port}
-   * @param askedAt monotonic time of asking; comes back
+   * @param askedAt monotonic time of the poll; the report carries it too
    * @param validUntil monotonic time from which it must not be sent
    * @param renew attempts to renew, each with its lease
-   * @param forget ended attempts the worker need not report again
+   * @param forget ended attempts that the worker need not report again
    */
   record PollWorker(
       WorkerId worker,
@@ -101,23 +101,23 @@
    * A renewal of one attempt's lease.
    *
    * @param run the attempt
-   * @param leaseMillis how long the worker may run it from receipt
+   * @param leaseMillis how long the worker may run it after it received the renewal
    */
   record Renewal(Run run, long leaseMillis) {}
 
   /**
-   * Orders a worker to start an attempt; idempotent for the same attempt.
+   * Orders a worker to start an attempt. The order is idempotent for the same attempt.
    *
    * @param worker the worker
    * @param address {@code host:port}
-   * @param boot the boot the order is for; another boot refuses it
+   * @param boot identifier of the worker's boot; the worker refuses the order after a restart
    * @param validUntil monotonic time from which it must not be sent
-   * @param expiresAt the worker's own clock from which it refuses the order
+   * @param expiresAt time on the worker's own clock from which the worker refuses the order
    * @param run the attempt
    * @param row the row
-   * @param input what it works on
-   * @param checkpoint where to resume, or null
-   * @param demand what it may use
+   * @param input the task's input
+   * @param checkpoint checkpoint to resume from, or null
+   * @param demand resources that it may use
    * @param leaseMillis how long it may run without a renewal
    */
   record StartRun(
@@ -135,7 +135,7 @@
       implements TaskEffect {}
 
   /**
-   * Orders a worker to checkpoint and stop an attempt; idempotent.
+   * Orders a worker to checkpoint and stop an attempt. The order is idempotent.
    *
    * @param worker the worker
    * @param address {@code host:port}
--- a/core/src/main/java/org/cottontack/core/task/TaskEvent.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskEvent.java
@@ -4,25 +4,25 @@
 import org.cottontack.core.id.RowName;
 import org.cottontack.core.id.TaskId;
 
-/** Events of tasks, other than what workers say. */
+/** Events of tasks, except reports and answers of workers. */
 public interface TaskEvent extends Event {
 
   /**
    * A caller submits a task. Submitting the same task again is idempotent.
    *
-   * @param ticket comes back with the answer
-   * @param id chosen by the caller or minted
+   * @param ticket number that the answer carries too
+   * @param id identifier, chosen by the caller or generated
    * @param row a batch row
-   * @param input what it works on
-   * @param demand what it needs, or null for what its row declares
+   * @param input the task's input
+   * @param demand the resources it needs, or null for those that its row declares
    */
   record SubmitAsked(long ticket, TaskId id, RowName row, String input, Demand demand)
       implements TaskEvent {}
 
   /**
-   * A caller asks how a task is doing.
+   * A caller queries the status of a task.
    *
-   * @param ticket comes back with the answer
+   * @param ticket number that the answer carries too
    * @param id the task
    */
   record StatusAsked(long ticket, TaskId id) implements TaskEvent {}
@@ -30,13 +30,13 @@
   /**
    * A caller cancels a task. Cancelling again is idempotent.
    *
-   * @param ticket comes back with the answer
+   * @param ticket number that the answer carries too
    * @param id the task
    */
   record CancelAsked(long ticket, TaskId id) implements TaskEvent {}
 
   /**
-   * The caller of a submission, query or cancellation waits no longer.
+   * The caller of a submission, query or cancellation no longer waits.
    *
    * @param ticket the ticket
    */
@@ -45,7 +45,7 @@
   /** Time to place waiting tasks. */
   record PlaceDue() implements TaskEvent {}
 
-  /** Time to poll workers and to look for lapsed leases. */
+  /** Time to poll workers and to check for expired leases. */
   record PollDue() implements TaskEvent {}
 
   /** Time to read the next bucket of live tasks. */
--- a/core/src/main/java/org/cottontack/core/task/TaskPhase.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskPhase.java
@@ -6,21 +6,24 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** The recorded life of a task. Each change is one conditional write. */
+/** The phases of a task in its record. Each change of phase is one conditional write. */
 public enum TaskPhase {
   /** Waits for a worker, for the first time or after it was evicted or lost. */
   QUEUED(false),
-  /** Belongs to one attempt on one worker. */
+  /** Is assigned to one worker, for one attempt. */
   PLACED(false),
-  /** Ran to its end. */
+  /** Ran to completion. */
   FINISHED(true),
-  /** Failed on too many workers. */
+  /** Failed on the maximum number of workers. */
   FAILED(true),
   /** Was cancelled before it finished. */
   CANCELLED(true),
-  /** Fits no worker there is. */
+  /** Is larger than every worker. */
   NEVER_RUNNABLE(true),
-  /** May have run to its end on a worker that fell silent, and may not run twice. */
+  /**
+   * Must not run twice and may have run to completion on a worker that fell silent or does not list
+   * it.
+   */
   IN_DOUBT(true);
 
   private final boolean ended;
@@ -34,7 +37,7 @@
     return ended;
   }
 
-  /** Returns whether a task may pass from this phase to another. */
+  /** Returns whether a task may change from this phase to another. */
   public boolean mayBecome(TaskPhase next) {
     return successors().contains(next);
   }
@@ -47,12 +50,12 @@
     };
   }
 
-  /** Returns the word callers and operators see. */
+  /** Returns the name of this phase for callers and operators. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the phase for a word. */
+  /** Returns the phase with a name that callers and operators use. */
   public static Optional<TaskPhase> forWord(String word) {
     return Stream.of(values()).filter(phase -> phase.word().equals(word)).findFirst();
   }
--- a/core/src/main/java/org/cottontack/core/task/TaskRecord.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskRecord.java
@@ -14,20 +14,20 @@
  * @param id the task
  * @param row its row of the table
  * @param team the team whose quota it counts against
- * @param input what it works on, given to the worker as it is
- * @param demand declared need
- * @param repeatable whether it may run again when nobody knows whether it ran to its end
- * @param urgent whether it goes before others
+ * @param input its input, passed to the worker unchanged
+ * @param demand declared demand
+ * @param repeatable whether it may run again where it is unknown whether it ran to completion
+ * @param urgent whether it is placed before other tasks
  * @param submittedAt wall-clock milliseconds
  * @param deadline wall-clock milliseconds by which it should end
- * @param phase where it stands
- * @param attempt counts up with each placement: the fencing token of orders to workers
+ * @param phase its phase
+ * @param attempt number that grows with each placement: the fencing token of orders to workers
  * @param worker where the attempt was placed, or null
  * @param leaseMillis how long the worker runs the attempt without a renewal
  * @param checkpoint where the next attempt resumes, or null
- * @param cancelAsked whether it is to be stopped for good
+ * @param cancelAsked whether it was cancelled and must not run again
  * @param failedOn workers on which it failed
- * @param outcome its result or the reason of its end, or null
+ * @param outcome its result or the reason why it ended, or null
  */
 public record TaskRecord(
     TaskId id,
@@ -49,7 +49,7 @@
     String outcome)
     implements StoredValue {
 
-  /** Keeps the list immutable. */
+  /** Copies the list, so that the record is immutable. */
   public TaskRecord {
     failedOn = List.copyOf(failedOn);
   }
@@ -59,7 +59,7 @@
     return new Run(id, attempt);
   }
 
-  /** Returns whether a worker should be running this attempt of the task. */
+  /** Returns whether the current attempt of the task is placed on a worker. */
   public boolean placedOn(WorkerId candidate) {
     return phase == TaskPhase.PLACED && candidate.equals(worker);
   }
@@ -70,23 +70,24 @@
         TaskPhase.PLACED, attempt + 1, target, lease, checkpoint, cancelAsked, failedOn, null);
   }
 
-  /** Returns the record of a task that waits again and resumes from a checkpoint. */
-  public TaskRecord queuedAgain(String resumeFrom) {
+  /** Returns the record of a task that is queued again and will resume from a checkpoint. */
+  public TaskRecord requeued(String resumeFrom) {
     return copy(TaskPhase.QUEUED, attempt, null, 0, resumeFrom, cancelAsked, failedOn, null);
   }
 
-  /** Returns the record after a failure on its worker. */
-  public TaskRecord failedHere() {
-    List<WorkerId> more = Stream.concat(failedOn.stream(), Stream.of(worker)).distinct().toList();
-    return copy(TaskPhase.QUEUED, attempt, null, 0, checkpoint, cancelAsked, more, null);
+  /** Returns the record of a task that is queued again after it failed on its worker. */
+  public TaskRecord requeuedAfterFailure() {
+    List<WorkerId> workers =
+        Stream.concat(failedOn.stream(), Stream.of(worker)).distinct().toList();
+    return copy(TaskPhase.QUEUED, attempt, null, 0, checkpoint, cancelAsked, workers, null);
   }
 
-  /** Returns the record of a task that is over. */
+  /** Returns the record of a task that has ended. */
   public TaskRecord ended(TaskPhase last, String text) {
     return copy(last, attempt, worker, leaseMillis, checkpoint, cancelAsked, failedOn, text);
   }
 
-  /** Returns the record of a task that is to be stopped for good. */
+  /** Returns the record of a task that is to be stopped and must not run again. */
   public TaskRecord withCancelAsked() {
     return copy(phase, attempt, worker, leaseMillis, checkpoint, true, failedOn, outcome);
   }
--- a/core/src/main/java/org/cottontack/core/task/TaskReducer.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskReducer.java
@@ -10,14 +10,15 @@
 import org.cottontack.core.store.StoreEvent;
 
 /**
- * The way of a task: recorded, placed, started, watched, ended; every change is one conditional
- * write made before the order it allows. See {@code docs/design/2-tasks.md}.
+ * Handles the events of tasks, from submission through placement, start and polling to the end.
+ * Every change of a task is one conditional write, which takes effect before the order that it
+ * allows is sent. See {@code docs/design/2-tasks.md}.
  */
 public final class TaskReducer {
 
   private TaskReducer() {}
 
-  /** Returns the handlers of this part. */
+  /** Returns the handlers of task and worker events. */
   public static Handlers handlers() {
     return new Handlers()
         .on(OwnershipEvent.Start.class, (state, event) -> start(state))
@@ -26,14 +27,14 @@
         .on(TaskEvent.CancelAsked.class, Tickets::cancel)
         .on(TaskEvent.TicketExpired.class, Tickets::expired)
         .on(TaskEvent.PlaceDue.class, Placing::placeDue)
-        .on(TaskEvent.PollDue.class, Watching::pollDue)
+        .on(TaskEvent.PollDue.class, WorkerPolling::pollDue)
         .on(TaskEvent.SweepDue.class, Loading::sweepDue)
         .on(OwnershipEvent.GainsOpen.class, (state, event) -> Loading.loadAll(state))
         .on(FleetEvent.WorkerGained.class, (state, event) -> Loading.loadAll(state))
         .on(FleetEvent.WorkerReleased.class, Loading::workerReleased)
-        .on(WorkerEvent.Reported.class, Watching::reported)
+        .on(WorkerEvent.Reported.class, WorkerPolling::reported)
         .on(WorkerEvent.StartAnswered.class, Placing::startAnswered)
-        .on(PeerEvent.Received.class, Loading::noticed)
+        .on(PeerEvent.Received.class, Loading::noticeReceived)
         .on(StoreEvent.Settled.class, TaskReducer::settled)
         .on(StoreEvent.Scanned.class, TaskReducer::scanned)
         .on(StoreEvent.ScanFailed.class, Tickets::scanFailed);
--- a/core/src/main/java/org/cottontack/core/task/TaskState.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskState.java
@@ -9,13 +9,14 @@
 import org.pcollections.PSet;
 
 /**
- * Tasks this process looks after.
+ * The tasks that this process is responsible for.
  *
- * @param tasks by identifier
- * @param byWorker tasks that take capacity of each worker
+ * @param tasks tasks by identifier
+ * @param byWorker tasks that occupy capacity of each worker
  * @param loaded workers whose tasks were read from the store since they became owned
- * @param toForget ended attempts that workers may forget
- * @param strays attempts on workers that no known record explains, with what they occupy
+ * @param toForget ended attempts that workers may forget, by worker
+ * @param orphans attempts that workers report and no known record allows, by worker; nothing is
+ *     placed on a worker that has any, because they occupy capacity
  * @param nextBucket the bucket to read next
  */
 public record TaskState(
@@ -23,10 +24,10 @@
     PMap<WorkerId, PSet<TaskId>> byWorker,
     PSet<WorkerId> loaded,
     PMap<WorkerId, PSet<Run>> toForget,
-    PMap<WorkerId, PSet<Run>> strays,
+    PMap<WorkerId, PSet<Run>> orphans,
     int nextBucket) {
 
-  /** No tasks. */
+  /** A state without tasks. */
   public static final TaskState EMPTY =
       new TaskState(
           HashTreePMap.empty(),
@@ -36,7 +37,7 @@
           HashTreePMap.empty(),
           0);
 
-  /** Returns the tasks that take capacity of a worker. */
+  /** Returns the tasks that occupy capacity of a worker. */
   public Stream<TaskView> on(WorkerId worker) {
     return byWorker.getOrDefault(worker, HashTreePSet.empty()).stream().map(tasks::get);
   }
@@ -45,8 +46,8 @@
     return toForget.getOrDefault(worker, HashTreePSet.empty());
   }
 
-  PSet<Run> strays(WorkerId worker) {
-    return strays.getOrDefault(worker, HashTreePSet.empty());
+  PSet<Run> orphans(WorkerId worker) {
+    return orphans.getOrDefault(worker, HashTreePSet.empty());
   }
 
   TaskState put(TaskView view) {
@@ -62,12 +63,12 @@
                     .getOrDefault(worker, HashTreePSet.empty())
                     .plus(view.record().id()));
     return new TaskState(
-        tasks.plus(view.record().id(), view), index, loaded, toForget, strays, nextBucket);
+        tasks.plus(view.record().id(), view), index, loaded, toForget, orphans, nextBucket);
   }
 
   TaskState remove(TaskId id) {
     TaskState without = unindex(id);
-    return new TaskState(tasks.minus(id), without.byWorker, loaded, toForget, strays, nextBucket);
+    return new TaskState(tasks.minus(id), without.byWorker, loaded, toForget, orphans, nextBucket);
   }
 
   private TaskState unindex(TaskId id) {
@@ -79,26 +80,26 @@
     PSet<TaskId> left = byWorker.getOrDefault(worker, HashTreePSet.empty()).minus(id);
     PMap<WorkerId, PSet<TaskId>> index =
         left.isEmpty() ? byWorker.minus(worker) : byWorker.plus(worker, left);
-    return new TaskState(tasks, index, loaded, toForget, strays, nextBucket);
+    return new TaskState(tasks, index, loaded, toForget, orphans, nextBucket);
   }
 
   TaskState withLoaded(PSet<WorkerId> workers) {
-    return new TaskState(tasks, byWorker, workers, toForget, strays, nextBucket);
+    return new TaskState(tasks, byWorker, workers, toForget, orphans, nextBucket);
   }
 
-  TaskState forgetting(WorkerId worker, PSet<Run> runs) {
+  TaskState withToForget(WorkerId worker, PSet<Run> runs) {
     PMap<WorkerId, PSet<Run>> next =
         runs.isEmpty() ? toForget.minus(worker) : toForget.plus(worker, runs);
-    return new TaskState(tasks, byWorker, loaded, next, strays, nextBucket);
+    return new TaskState(tasks, byWorker, loaded, next, orphans, nextBucket);
   }
 
-  TaskState withStrays(WorkerId worker, PSet<Run> runs) {
+  TaskState withOrphans(WorkerId worker, PSet<Run> runs) {
     PMap<WorkerId, PSet<Run>> next =
-        runs.isEmpty() ? strays.minus(worker) : strays.plus(worker, runs);
+        runs.isEmpty() ? orphans.minus(worker) : orphans.plus(worker, runs);
     return new TaskState(tasks, byWorker, loaded, toForget, next, nextBucket);
   }
 
   TaskState withNextBucket(int bucket) {
-    return new TaskState(tasks, byWorker, loaded, toForget, strays, bucket);
+    return new TaskState(tasks, byWorker, loaded, toForget, orphans, bucket);
   }
 }
--- a/core/src/main/java/org/cottontack/core/task/Tickets.java
+++ b/core/src/main/java/org/cottontack/core/task/Tickets.java
@@ -18,19 +18,19 @@
 import org.cottontack.core.table.RowKind;
 import org.cottontack.core.table.RowSpec;
 
-/** Submissions, queries and cancellations: what callers ask about tasks. */
+/** Handles submissions, queries and cancellations of tasks by callers. */
 final class Tickets {
 
   private Tickets() {}
 
-  /** A write or read that answers a ticket. */
+  /** The purpose of a write or read whose result answers a ticket. */
   private interface TicketPurpose extends Purpose {
     long ticket();
   }
 
   private record Submission(long ticket, TaskRecord record) implements TicketPurpose {}
 
-  private record Cancelling(long ticket, TaskRecord next) implements TicketPurpose {}
+  private record Cancellation(long ticket, TaskRecord next) implements TicketPurpose {}
 
   private record Query(long ticket, TaskId task, boolean cancels, boolean ended)
       implements TicketPurpose {}
@@ -65,9 +65,8 @@
             List.of(),
             null);
     DataCentreId dataCentre = state.settings().dataCentre();
-    // Without the check, a copy of this write that was delayed until the task had ended and its
-    // live
-    // row was gone would create the task a second time.
+    // The check guards against a copy of this write that is delayed until the task has ended and
+    // its live row is gone: that copy would create the task a second time.
     List<Mutation> mutations =
         List.of(
             Mutation.put(StoreKey.task(dataCentre, event.id()), 0, record),
@@ -127,19 +126,19 @@
     List<Mutation> mutations = Transition.mutations(state.settings().dataCentre(), view, next);
     return Step.of(
         state,
-        new Effect.Raise(new StoreEvent.Submit(mutations, new Cancelling(query.ticket(), next))));
+        new Effect.Raise(new StoreEvent.Submit(mutations, new Cancellation(query.ticket(), next))));
   }
 
   static Step settled(State state, StoreEvent.Settled event) {
     if (event.purpose() instanceof Submission submission) {
       return event.applied()
           ? submitted(state, submission)
-          : taken(state, submission, event.conflicts());
+          : idTaken(state, submission, event.conflicts());
     }
-    if (event.purpose() instanceof Cancelling cancelling) {
+    if (event.purpose() instanceof Cancellation cancellation) {
       return event.applied()
-          ? cancelled(state, cancelling)
-          : query(state, new Query(cancelling.ticket(), cancelling.next().id(), true, false));
+          ? cancelled(state, cancellation)
+          : query(state, new Query(cancellation.ticket(), cancellation.next().id(), true, false));
     }
     return Step.of(state);
   }
@@ -148,11 +147,14 @@
     TaskRecord record = submission.record();
     return answer(state, submission.ticket(), TaskEffect.Verdict.DONE, record)
         .with(new Effect.Note("task.submitted", record.id().value(), "row " + record.row()))
-        .then(s -> Loading.tell(s, record.id()));
+        .then(s -> Loading.notifyBucketOwner(s, record.id()));
   }
 
-  /** The same submission again, perhaps after a lost answer, is answered as the first one was. */
-  private static Step taken(State state, Submission submission, List<StoreRow> conflicts) {
+  /**
+   * Answers a submission whose identifier is taken. A repeated submission, for example after a lost
+   * answer, gets the same answer as the first one; any other is refused.
+   */
+  private static Step idTaken(State state, Submission submission, List<StoreRow> conflicts) {
     Optional<TaskRecord> found =
         conflicts.stream()
             .map(StoreRow::value)
@@ -168,12 +170,12 @@
     return a.row().equals(b.row()) && a.input().equals(b.input()) && a.demand().equals(b.demand());
   }
 
-  private static Step cancelled(State state, Cancelling cancelling) {
-    TaskRecord record = cancelling.next();
-    return answer(state, cancelling.ticket(), TaskEffect.Verdict.DONE, record)
+  private static Step cancelled(State state, Cancellation cancellation) {
+    TaskRecord record = cancellation.next();
+    return answer(state, cancellation.ticket(), TaskEffect.Verdict.DONE, record)
         .with(new Effect.Note("task.cancel_asked", record.id().value(), record.phase().word()))
         .then(s -> Loading.read(s, record.id()))
-        .then(s -> Loading.tellOthers(s, record.id()));
+        .then(s -> Loading.notifyOthers(s, record.id()));
   }
 
   static Step scanFailed(State state, StoreEvent.ScanFailed event) {
@@ -182,13 +184,16 @@
         : Step.of(state);
   }
 
-  /** A write that was never sent is withdrawn, so that "nothing was written" is true. */
+  /**
+   * Answers a caller that no longer waits. A write that was never sent is withdrawn first, because
+   * the answer says that nothing was written.
+   */
   static Step expired(State state, TaskEvent.TicketExpired event) {
-    Predicate<Purpose> mine =
+    Predicate<Purpose> ofTicket =
         purpose -> purpose instanceof TicketPurpose ticketed && ticketed.ticket() == event.ticket();
-    return state.store().hasWaiting(mine)
+    return state.store().hasWaiting(ofTicket)
         ? answer(
-            state.with(state.store().withdraw(mine)),
+            state.with(state.store().withdraw(ofTicket)),
             event.ticket(),
             TaskEffect.Verdict.STORE_AWAY,
             null)
--- a/core/src/main/java/org/cottontack/core/task/Transition.java
+++ b/core/src/main/java/org/cottontack/core/task/Transition.java
@@ -12,24 +12,27 @@
 import org.cottontack.core.store.StoreEvent;
 import org.cottontack.core.store.StoreKey;
 
-/** Changes the record of a task by one conditional write and acts only once that took effect. */
+/**
+ * Changes the record of a task with one conditional write, and sends the order that the change
+ * allows only after the write took effect.
+ */
 final class Transition {
 
   private Transition() {}
 
   private record Change(TaskId task) implements Purpose {
 
-    /** Starts and stops wait on these; submissions and claims do not go before them. */
+    /** Starts and stops wait for these writes, so submissions and claims must not precede them. */
     @Override
     public boolean urgent() {
       return true;
     }
   }
 
-  /** Asks for a change; does nothing while another one has no outcome. */
+  /** Submits a change; does nothing while the outcome of another change is pending. */
   static Step write(State state, TaskView view, TaskRecord next) {
     boolean allowed =
-        view.doing() != TaskView.Doing.WRITING
+        view.activity() != TaskView.Activity.WRITING
             && (view.record().phase().mayBecome(next.phase())
                 || view.record().phase() == next.phase());
     if (!allowed) {
@@ -41,7 +44,10 @@
         new Effect.Raise(new StoreEvent.Submit(mutations, new Change(next.id()))));
   }
 
-  /** An ended task moves to rows of its own, so that reading live tasks stays small. */
+  /**
+   * Returns the mutations of a change. An ended task moves to a separate row, so that scans of the
+   * live tasks stay small.
+   */
   static List<Mutation> mutations(DataCentreId dataCentre, TaskView view, TaskRecord next) {
     StoreKey live = StoreKey.task(dataCentre, next.id());
     return next.phase().ended()
@@ -62,7 +68,7 @@
     return event.applied() ? applied(state, view) : conflict(state, change.task());
   }
 
-  /** Somebody else changed the record: forget what was believed and read it again. */
+  /** Discards the view of a task whose record another process changed, and reads it again. */
   private static Step conflict(State state, TaskId task) {
     return Loading.read(state.with(state.tasks().remove(task)), task);
   }
@@ -78,11 +84,11 @@
     if (after.phase().ended()) {
       next = next.with(next.tasks().remove(after.id()));
     }
-    Effect note =
+    Effect logEvent =
         new Effect.Note("task." + after.phase().word(), after.id().value(), describe(after));
     return after.phase() == TaskPhase.PLACED
-        ? Step.of(next, note).then(s -> Placing.start(s, now))
-        : Step.of(next, note);
+        ? Step.of(next, logEvent).then(s -> Placing.start(s, now))
+        : Step.of(next, logEvent);
   }
 
   private static String describe(TaskRecord record) {
@@ -90,8 +96,8 @@
         .formatted(record.attempt(), record.worker(), record.outcome());
   }
 
-  /** Lets a worker drop an attempt whose end is recorded. */
+  /** Allows a worker to drop an attempt whose end is recorded. */
   static State forget(State state, WorkerId worker, Run run) {
-    return state.with(state.tasks().forgetting(worker, state.tasks().toForget(worker).plus(run)));
+    return state.with(state.tasks().withToForget(worker, state.tasks().toForget(worker).plus(run)));
   }
 }
--- a/core/src/main/java/org/cottontack/core/task/Watching.java
+++ b/core/src/main/java/org/cottontack/core/task/WorkerPolling.java
@@ -11,27 +11,30 @@
 import org.pcollections.HashTreePSet;
 import org.pcollections.PSet;
 
-/** Polls workers, renews leases and records what became of each attempt. */
-final class Watching {
+/** Polls workers, renews the leases of their attempts and records how each attempt ended. */
+final class WorkerPolling {
 
   private static final long POLL_MILLIS = 500;
 
-  /** A worker with nothing new is asked less often; still twice before it counts as silent. */
-  private static final long QUIET_POLL_MILLIS = 2_000;
+  /**
+   * Interval between polls of a worker where no attempt is expected to change. It is short enough
+   * for two polls before the worker counts as silent.
+   */
+  private static final long IDLE_POLL_MILLIS = 2_000;
 
-  /** An attempt ordered so recently may end or change at any moment. */
-  private static final long YOUNG_MILLIS = 10_000;
+  /** Time after the last order during which an attempt may end or change at any moment. */
+  private static final long RECENT_ORDER_MILLIS = 10_000;
 
   private static final int MAX_FAILED_WORKERS = 3;
 
-  private Watching() {}
+  private WorkerPolling() {}
 
   static Step pollDue(State state, TaskEvent.PollDue event) {
     Step step = Step.of(state);
     if (state.ownership().mayAct(state.mono())) {
       List<WorkerView> owned =
           state.fleet().ownedWorkers().filter(worker -> due(state, worker)).toList();
-      step = Step.fold(state, owned, Watching::poll);
+      step = Step.fold(state, owned, WorkerPolling::poll);
     }
     return step.with(new Effect.After(POLL_MILLIS, event));
   }
@@ -39,14 +42,14 @@
   private static boolean due(State state, WorkerView worker) {
     return worker.silent(state.mono())
         || worker.leaving()
-        || state.mono() - worker.polledAt() >= QUIET_POLL_MILLIS
+        || state.mono() - worker.polledAt() >= IDLE_POLL_MILLIS
         || state.tasks().on(worker.id()).anyMatch(view -> mayChange(state, view));
   }
 
   private static boolean mayChange(State state, TaskView view) {
-    return view.doing() != TaskView.Doing.RUNNING
+    return view.activity() != TaskView.Activity.RUNNING
         || view.record().cancelAsked()
-        || state.mono() - view.orderedAt() < YOUNG_MILLIS;
+        || state.mono() - view.orderedAt() < RECENT_ORDER_MILLIS;
   }
 
   private static Step poll(State state, WorkerView worker) {
@@ -68,31 +71,32 @@
             state.ownership().actsUntil(),
             renewals,
             List.copyOf(state.tasks().toForget(worker.id())));
-    WorkerView asked = worker.polled(state.mono());
-    State next = state.with(state.fleet().with(renews ? asked.renewed(state.mono()) : asked));
-    return Step.of(next, poll).then(s -> requeueLapsed(s, worker));
+    WorkerView polled = worker.polled(state.mono());
+    State next = state.with(state.fleet().with(renews ? polled.renewed(state.mono()) : polled));
+    return Step.of(next, poll).then(s -> requeueExpired(s, worker));
   }
 
   /**
-   * A silent worker may be dead, cut off or paused. Its attempts may still run until the last
-   * renewal that can have reached it has run out; only then may a task be placed again.
+   * Requeues the tasks of a silent worker whose leases have expired. The worker may be dead,
+   * unreachable or paused, and its attempts may run until the last renewal that can have reached it
+   * has expired. Before that, a second placement could run a task in two places.
    */
-  private static Step requeueLapsed(State state, WorkerView worker) {
+  private static Step requeueExpired(State state, WorkerView worker) {
     if (!worker.silent(state.mono()) || !state.tasks().loaded().contains(worker.id())) {
       return Step.of(state);
     }
-    List<TaskView> lapsed =
+    List<TaskView> expired =
         state
             .tasks()
             .on(worker.id())
             .filter(view -> view.record().placedOn(worker.id()))
-            .filter(view -> view.doing() != TaskView.Doing.WRITING)
-            .filter(view -> state.mono() >= lapseAt(state, worker, view))
+            .filter(view -> view.activity() != TaskView.Activity.WRITING)
+            .filter(view -> state.mono() >= leaseExpiresAt(state, worker, view))
             .toList();
-    return Step.fold(state, lapsed, (s, view) -> lost(s, view, "lease lapsed"));
+    return Step.fold(state, expired, (s, view) -> lost(s, view, "lease lapsed"));
   }
 
-  private static long lapseAt(State state, WorkerView worker, TaskView view) {
+  private static long leaseExpiresAt(State state, WorkerView worker, TaskView view) {
     long lastSent = Math.max(worker.renewSentAt(), view.orderedAt());
     return lastSent
         + state.settings().orderLifetime()
@@ -101,24 +105,25 @@
   }
 
   /**
-   * Nobody knows whether the attempt reached its end before it was lost. Only a task that may
-   * safely run twice goes on; for any other, a second run could repeat what the first one did.
+   * Handles a lost attempt, which may have run to completion. Only a repeatable task is queued
+   * again. Any other task ends in doubt, because a second run could repeat the effects of the
+   * first.
    */
-  private static Step lost(State state, TaskView view, String why) {
+  private static Step lost(State state, TaskView view, String reason) {
     TaskRecord record = view.record();
     return record.repeatable()
-        ? requeue(state, view, why)
-        : Transition.write(state, view, record.ended(TaskPhase.IN_DOUBT, why));
+        ? requeue(state, view, reason)
+        : Transition.write(state, view, record.ended(TaskPhase.IN_DOUBT, reason));
   }
 
-  private static Step requeue(State state, TaskView view, String why) {
+  private static Step requeue(State state, TaskView view, String reason) {
     TaskRecord record = view.record();
     TaskRecord next =
         record.cancelAsked()
-            ? record.ended(TaskPhase.CANCELLED, why)
-            : record.queuedAgain(view.checkpoint());
+            ? record.ended(TaskPhase.CANCELLED, reason)
+            : record.requeued(view.checkpoint());
     return Transition.write(state, view, next)
-        .with(new Effect.Note("task.requeued", record.run().toString(), why));
+        .with(new Effect.Note("task.requeued", record.run().toString(), reason));
   }
 
   static Step reported(State state, WorkerEvent.Reported event) {
@@ -130,9 +135,9 @@
     Map<Run, RunReport> runs =
         event.runs().stream().collect(Collectors.toMap(RunReport::run, Function.identity()));
     State next = state.with(state.fleet().with(seen));
-    next = next.with(next.tasks().forgetting(seen.id(), stillListed(next, seen, runs)));
-    return Step.fold(next, event.runs(), (s, report) -> explain(s, seen, report))
-        .then(s -> missing(s, seen, event, runs));
+    next = next.with(next.tasks().withToForget(seen.id(), stillListed(next, seen, runs)));
+    return Step.fold(next, event.runs(), (s, report) -> handleReport(s, seen, report))
+        .then(s -> handleMissing(s, seen, event, runs));
   }
 
   private static PSet<Run> stillListed(State state, WorkerView worker, Map<Run, RunReport> runs) {
@@ -140,41 +145,42 @@
         state.tasks().toForget(worker.id()).stream().filter(runs::containsKey).toList());
   }
 
-  private static Step explain(State state, WorkerView worker, RunReport report) {
+  private static Step handleReport(State state, WorkerView worker, RunReport report) {
     TaskView view = state.tasks().tasks().get(report.run().task());
     boolean known =
         view != null
             && view.record().placedOn(worker.id())
             && view.record().run().equals(report.run());
     if (known) {
-      return view.doing() == TaskView.Doing.WRITING
+      return view.activity() == TaskView.Activity.WRITING
           ? Step.of(state)
-          : follow(state, worker, view.measured(report), report);
+          : applyReport(state, worker, view.measured(report), report);
     }
-    boolean settled =
+    boolean ignored =
         !state.tasks().loaded().contains(worker.id())
             || state.tasks().toForget(worker.id()).contains(report.run());
-    return settled ? Step.of(state) : Loading.readStray(state, worker.id(), report);
+    return ignored ? Step.of(state) : Loading.readOrphan(state, worker.id(), report);
   }
 
-  private static Step follow(State state, WorkerView worker, TaskView view, RunReport report) {
+  private static Step applyReport(State state, WorkerView worker, TaskView view, RunReport report) {
     return switch (report.status()) {
       case RUNNING -> running(state, worker, view);
       case FINISHED ->
-          workerDid(state, worker, true)
+          recordTaskEnd(state, worker, true)
               .then(s -> end(s, view, TaskPhase.FINISHED, report.outcome()));
-      case FAILED -> workerDid(state, worker, false).then(s -> failed(s, view, report.outcome()));
+      case FAILED ->
+          recordTaskEnd(state, worker, false).then(s -> failed(s, view, report.outcome()));
       case STOPPED -> requeue(state, view, "stopped on its worker");
     };
   }
 
   private static Step running(State state, WorkerView worker, TaskView view) {
-    boolean unwanted = view.record().cancelAsked() || worker.leaving();
-    if (unwanted) {
-      TaskView stopping = view.doing(TaskView.Doing.STOPPING);
+    boolean mustStop = view.record().cancelAsked() || worker.leaving();
+    if (mustStop) {
+      TaskView stopping = view.activity(TaskView.Activity.STOPPING);
       return stop(state.with(state.tasks().put(stopping)), worker, view.record().run());
     }
-    return Step.of(state.with(state.tasks().put(view.doing(TaskView.Doing.RUNNING))));
+    return Step.of(state.with(state.tasks().put(view.activity(TaskView.Activity.RUNNING))));
   }
 
   static Step stop(State state, WorkerView worker, Run run) {
@@ -183,8 +189,8 @@
         new TaskEffect.StopRun(worker.id(), worker.address(), state.ownership().actsUntil(), run));
   }
 
-  private static Step workerDid(State state, WorkerView worker, boolean good) {
-    return Step.of(state.with(state.fleet().with(worker.taskEnded(good, state.mono()))));
+  private static Step recordTaskEnd(State state, WorkerView worker, boolean succeeded) {
+    return Step.of(state.with(state.fleet().with(worker.taskEnded(succeeded, state.mono()))));
   }
 
   private static Step end(State state, TaskView view, TaskPhase phase, String outcome) {
@@ -192,7 +198,7 @@
   }
 
   private static Step failed(State state, TaskView view, String reason) {
-    TaskRecord next = view.record().failedHere();
+    TaskRecord next = view.record().requeuedAfterFailure();
     if (next.cancelAsked()) {
       return end(state, view, TaskPhase.CANCELLED, reason);
     }
@@ -202,24 +208,25 @@
   }
 
   /**
-   * An attempt the worker does not list is not there, provided no start order for it can still be
-   * on the wire: orders expire by the worker's own clock.
+   * Handles attempts that the worker does not list. Such an attempt does not run there, provided
+   * that no start order for it can still be in flight. Orders expire by the worker's own clock, so
+   * the margin is the lifetime of an order plus the clock drift.
    */
-  private static Step missing(
+  private static Step handleMissing(
       State state, WorkerView worker, WorkerEvent.Reported event, Map<Run, RunReport> runs) {
     if (!state.tasks().loaded().contains(worker.id())) {
       return Step.of(state);
     }
     long margin = state.settings().orderLifetime() + state.settings().driftMargin();
-    List<TaskView> gone =
+    List<TaskView> missing =
         state
             .tasks()
             .on(worker.id())
             .filter(view -> view.record().placedOn(worker.id()))
-            .filter(view -> view.doing() != TaskView.Doing.WRITING)
+            .filter(view -> view.activity() != TaskView.Activity.WRITING)
             .filter(view -> !runs.containsKey(view.record().run()))
             .filter(view -> event.askedAt() >= view.orderedAt() + margin)
             .toList();
-    return Step.fold(state, gone, (s, view) -> lost(s, view, "not on its worker"));
+    return Step.fold(state, missing, (s, view) -> lost(s, view, "not on its worker"));
   }
 }
--- a/core/src/main/java/org/cottontack/core/task/package-info.java
+++ b/core/src/main/java/org/cottontack/core/task/package-info.java
@@ -1,2 +1,2 @@
-/** Batch tasks: lifecycle, placement, leases and fencing. */
+/** Lifecycle, placement, leases and fencing of batch tasks. */
 package org.cottontack.core.task;
--- a/core/src/test/java/org/cottontack/core/lab/FakeEndpoint.java
+++ b/core/src/test/java/org/cottontack/core/lab/FakeEndpoint.java
@@ -5,18 +5,20 @@
 import java.util.Set;
 import org.cottontack.core.id.AttemptId;
 
-/** An endpoint that runs what it is sent and refuses nothing. */
+/**
+ * An endpoint that runs every request it gets and records a violation if its slots are exceeded.
+ */
 public final class FakeEndpoint {
 
   private final String name;
   private final int slots;
-  private final Lab lab;
+  private final Simulation simulation;
   private final Map<AttemptId, String> running = new LinkedHashMap<>();
 
-  /** How long a request takes, in milliseconds. */
+  /** Duration of a request in milliseconds. */
   public long millis = 5;
 
-  /** Whether its answers arrive. */
+  /** Whether its answers reach the entry instances. */
   public boolean answers = true;
 
   /** Whether connections to it can be made. */
@@ -25,10 +27,10 @@
   /** The status of its answers. */
   public int status = 200;
 
-  FakeEndpoint(String name, int slots, Lab lab) {
+  FakeEndpoint(String name, int slots, Simulation simulation) {
     this.name = name;
     this.slots = slots;
-    this.lab = lab;
+    this.simulation = simulation;
   }
 
   int slots() {
@@ -37,9 +39,9 @@
 
   void run(AttemptId attempt, String body) {
     running.put(attempt, body);
-    lab.requestRan(body);
+    simulation.requestRan(body);
     if (running.size() > slots) {
-      lab.violation(name + " runs " + running.size() + " requests in " + slots + " slots");
+      simulation.violation(name + " runs " + running.size() + " requests in " + slots + " slots");
     }
   }
 
@@ -51,7 +53,7 @@
     return Set.copyOf(running.keySet());
   }
 
-  /** Returns how many requests run here now. */
+  /** Returns the number of requests that run here now. */
   public int busy() {
     return running.size();
   }
--- a/core/src/test/java/org/cottontack/core/lab/FakeStore.java
+++ b/core/src/test/java/org/cottontack/core/lab/FakeStore.java
@@ -9,13 +9,15 @@
 import org.cottontack.core.store.StoredValue;
 import org.cottontack.core.store.Write;
 
-/** The platform's table service: transactions take effect whole or not at all. */
+/** The platform's table service in memory; transactions are atomic. */
 public final class FakeStore {
 
   private final TreeMap<String, StoreRow> rows = new TreeMap<>();
   private int commits;
 
-  /** Returns the rows in the way, empty when the writes took effect. */
+  /**
+   * Commits writes if all their conditions hold; returns the conflicting rows, empty if they do.
+   */
   public List<StoreRow> commit(List<Write> writes) {
     List<StoreRow> conflicts =
         writes.stream()
@@ -40,7 +42,7 @@
     }
   }
 
-  /** Returns a row. */
+  /** Returns a row, or an absent row if the key has none. */
   public StoreRow row(StoreKey key) {
     return rows.getOrDefault(key.value(), StoreRow.absent(key));
   }
@@ -57,7 +59,7 @@
         .toList();
   }
 
-  /** Returns how many transactions took effect. */
+  /** Returns the number of transactions that took effect. */
   public int commits() {
     return commits;
   }
--- a/core/src/test/java/org/cottontack/core/lab/FakeWorker.java
+++ b/core/src/test/java/org/cottontack/core/lab/FakeWorker.java
@@ -9,23 +9,23 @@
 import org.cottontack.core.task.RunReport;
 import org.cottontack.core.task.TaskEffect;
 
-/** A worker that obeys orders under leases and keeps its own record of what it ran. */
+/** A worker that carries out orders under leases and records every attempt that it started. */
 public final class FakeWorker {
 
   private final String name;
   private final Demand capacity;
-  private final Lab lab;
+  private final Simulation simulation;
   private final Map<Run, Running> runs = new LinkedHashMap<>();
   private final List<Run> started = new ArrayList<>();
   private String boot = "boot-1";
 
-  /** Orders that reach it. */
-  public boolean hears = true;
+  /** Whether orders reach it. */
+  public boolean receivesOrders = true;
 
-  /** Whether its answers arrive. */
+  /** Whether its answers reach the entry instances. */
   public boolean answers = true;
 
-  /** Whether everything it starts fails at once. */
+  /** Whether every attempt that it starts fails at once. */
   public boolean failsAll;
 
   private static final class Running {
@@ -41,10 +41,10 @@
     }
   }
 
-  FakeWorker(String name, Demand capacity, Lab lab) {
+  FakeWorker(String name, Demand capacity, Simulation simulation) {
     this.name = name;
     this.capacity = capacity;
-    this.lab = lab;
+    this.simulation = simulation;
   }
 
   Demand capacity() {
@@ -63,7 +63,7 @@
         .anyMatch(e -> e.getValue().status == RunReport.Status.RUNNING);
   }
 
-  /** Ends every attempt of a task. */
+  /** Finishes every running attempt of a task. */
   public void finish(String task) {
     runs.entrySet().stream()
         .filter(e -> e.getKey().task().value().equals(task))
@@ -71,12 +71,12 @@
         .forEach(e -> e.getValue().status = RunReport.Status.FINISHED);
   }
 
-  /** Makes it run an attempt that nobody ordered. */
+  /** Makes it run an attempt that no instance ordered. */
   public void inject(Run run, Demand demand) {
     runs.put(run, new Running(demand, null, Long.MAX_VALUE));
   }
 
-  /** Restarts: everything that ran is gone. */
+  /** Restarts the worker, which loses all its attempts. */
   public void restart() {
     runs.clear();
     boot += "+";
@@ -97,7 +97,7 @@
       run.status = failsAll ? RunReport.Status.FAILED : RunReport.Status.RUNNING;
       runs.put(order.run(), run);
       started.add(order.run());
-      lab.taskStarted(order.run().task().value(), name);
+      simulation.taskStarted(order.run().task().value(), name);
       checkCapacity();
     }
     return true;
@@ -110,7 +110,7 @@
             .map(run -> run.demand)
             .reduce(Demand.NONE, Demand::plus);
     if (!held.fitsIn(capacity)) {
-      lab.violation(name + " holds " + held + " of " + capacity);
+      simulation.violation(name + " holds " + held + " of " + capacity);
     }
   }
 
--- a/core/src/test/java/org/cottontack/core/lab/Node.java
+++ b/core/src/test/java/org/cottontack/core/lab/Node.java
@@ -15,17 +15,17 @@
 import org.cottontack.core.table.TableEffect;
 import org.cottontack.core.task.TaskEffect;
 
-/** One entry instance: the real reducer between fake ports. */
+/** One entry instance: the real reducer, with simulated ports. */
 public final class Node {
 
-  private final Lab lab;
+  private final Simulation simulation;
   private final String address;
   private State state;
   private boolean alive = true;
   private boolean paused;
-  private final List<Event> missed = new ArrayList<>();
+  private final List<Event> eventsWhilePaused = new ArrayList<>();
 
-  /** Answers callers got; each request has at most one. */
+  /** Answers that callers got; each request has at most one. */
   public final Map<RequestId, Answer> answers = new HashMap<>();
 
   /** Answers to submissions, queries and cancellations, by ticket. */
@@ -37,43 +37,43 @@
   /** Whether the store can be reached. */
   public boolean storeUp = true;
 
-  /** Whether answers of the store arrive; requests take effect all the same. */
+  /** Whether responses of the store arrive; requests take effect even if they don't. */
   public boolean storeAnswers = true;
 
-  /** The answer to the next transaction that touches a row with this in its key is lost, once. */
+  /** Text in a row's key; the response to the next transaction on such a row is lost, once. */
   public String loseNextAnswerAbout = "";
 
-  /** How long answers to its reads are under way; what they tell is as old. */
+  /** One-way delay of responses to its reads in milliseconds; their content is that old. */
   public long scanDelay = 2;
 
-  /** How long its orders are under way to workers and endpoints. */
+  /** One-way delay of its orders to workers and endpoints, in milliseconds. */
   public long orderDelay = 2;
 
-  /** How long its start orders are under way, beyond that. */
+  /** Additional one-way delay of its start orders, in milliseconds. */
   public long startDelay;
 
   /** Whether other entry instances, workers and endpoints can be reached. */
   public boolean networkUp = true;
 
-  /** Whether orders to workers and endpoints are held up on their way until released. */
+  /** Whether orders to workers and endpoints are held until they are released. */
   public boolean ordersHeld;
 
-  Node(Lab lab, Settings settings) {
-    this.lab = lab;
+  Node(Simulation simulation, Settings settings) {
+    this.simulation = simulation;
     this.address = settings.address();
     this.state = State.initial(settings, moment());
   }
 
   private Moment moment() {
-    return new Moment(lab.now(), Lab.WALL_START + lab.now());
+    return new Moment(simulation.now(), Simulation.WALL_START + simulation.now());
   }
 
-  /** Returns its state. */
+  /** Returns the state of the reducer. */
   public State state() {
     return state;
   }
 
-  /** Returns where others reach it. */
+  /** Returns the address at which others reach it. */
   public String address() {
     return address;
   }
@@ -87,21 +87,21 @@
     return alive && networkUp;
   }
 
-  /** Ends it without any warning. */
+  /** Kills the instance without warning. */
   public void kill() {
     alive = false;
   }
 
-  /** Stops it as a signal or a long collection of garbage does: nothing runs, nothing is lost. */
+  /** Pauses it, as a signal or a long garbage collection does: nothing runs, no event is lost. */
   public void pause() {
     paused = true;
   }
 
-  /** Lets it go on; everything that came meanwhile is handled now. */
+  /** Resumes it and handles all events that arrived during the pause. */
   public void resume() {
     paused = false;
-    List<Event> waiting = List.copyOf(missed);
-    missed.clear();
+    List<Event> waiting = List.copyOf(eventsWhilePaused);
+    eventsWhilePaused.clear();
     waiting.forEach(this::accept);
   }
 
@@ -109,18 +109,18 @@
     return paused;
   }
 
-  /** Hands it an event. */
+  /** Delivers an event; a killed instance drops it, a paused one queues it. */
   public void accept(Event event) {
     if (!alive) {
       return;
     }
     if (paused) {
-      missed.add(event);
+      eventsWhilePaused.add(event);
       return;
     }
     Step step = Scheduler.reduce(state, moment(), event);
     state = step.state();
-    step.effects().forEach(effect -> lab.carryOut(this, effect));
+    step.effects().forEach(effect -> simulation.execute(this, effect));
   }
 
   void halted() {
--- a/core/src/test/java/org/cottontack/core/lab/Lab.java
+++ b/core/src/test/java/org/cottontack/core/lab/Simulation.java
@@ -48,44 +48,45 @@
 import org.cottontack.core.task.TaskRecord;
 import org.cottontack.core.task.WorkerEvent;
 
-/** Entry instances, a store, workers and endpoints under one virtual clock. */
-public final class Lab {
+/** Simulates entry instances, a store, workers and endpoints under one virtual clock. */
+public final class Simulation {
 
   /** Wall time at which the virtual clock reads 0. */
   public static final long WALL_START = 1_800_000_000_000L;
 
-  /** Ownership lease of the entry instances. */
+  /** Ownership lease of the entry instances, in milliseconds. */
   public static final long LEASE = 3_000;
 
-  /** Lease of tasks at workers. */
+  /** Lease of tasks at workers, in milliseconds. */
   public static final long TASK_LEASE = 8_000;
 
-  /** Longest cover by promises. */
+  /** Maximum cover by promises, in milliseconds. */
   public static final long HORIZON = 60_000;
 
   private static final long LATENCY = 2;
   private static final DataCentreId DATA_CENTRE = new DataCentreId("dc");
 
-  private record Due(long at, long order, Runnable action) {}
+  private record ScheduledAction(long at, long order, Runnable action) {}
 
-  private final PriorityQueue<Due> queue =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledAction> queue =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::at).thenComparingLong(ScheduledAction::order));
   private final List<Node> nodes = new ArrayList<>();
   private final Map<String, FakeWorker> workers = new LinkedHashMap<>();
   private final Map<String, FakeEndpoint> endpoints = new LinkedHashMap<>();
-  private final Map<String, Boolean> leaving = new TreeMap<>();
+  private final Map<String, Boolean> markLeaving = new TreeMap<>();
   private final Map<String, Integer> requestRuns = new TreeMap<>();
   private final List<String> violations = new ArrayList<>();
   private final List<Runnable> heldOrders = new ArrayList<>();
-  private final Set<Set<String>> cuts = new HashSet<>();
+  private final Set<Set<String>> disconnected = new HashSet<>();
   private final FakeStore store = new FakeStore();
   private long now;
   private long order;
   private long numbers;
 
-  /** Creates a data centre whose table is already in force. */
-  public Lab() {
-    TableRecord table = new TableRecord(1, "lab", WALL_START, LabTable.content());
+  /** Creates a data centre whose store already contains a table. */
+  public Simulation() {
+    TableRecord table = new TableRecord(1, "lab", WALL_START, SimulationTable.content());
     store.commit(
         List.of(
             new Write(
@@ -122,8 +123,8 @@
   }
 
   /** Marks a worker or an endpoint as leaving. */
-  public void leaving(String name) {
-    leaving.put(name, true);
+  public void markLeaving(String name) {
+    markLeaving.put(name, true);
   }
 
   /** Returns the store. */
@@ -131,17 +132,17 @@
     return store;
   }
 
-  /** Returns broken promises, seen by the workers and endpoints themselves. */
+  /** Returns the violated invariants; workers and endpoints detect most of them themselves. */
   public List<String> violations() {
     return violations;
   }
 
-  /** Returns how often a request ran. */
+  /** Returns how often the request with a body ran. */
   public int runs(String body) {
     return requestRuns.getOrDefault(body, 0);
   }
 
-  /** Returns how many requests ran. */
+  /** Returns how many requests ran; a request that ran twice counts twice. */
   public int runs() {
     return requestRuns.values().stream().mapToInt(Integer::intValue).sum();
   }
@@ -168,7 +169,7 @@
     }
   }
 
-  /** Lets virtual time pass. */
+  /** Advances the virtual time and runs everything that is due meanwhile. */
   public void run(long millis) {
     long end = now + millis;
     while (!queue.isEmpty() && queue.peek().at() <= end) {
@@ -178,7 +179,7 @@
     workers.values().forEach(worker -> worker.tick(now));
   }
 
-  /** Lets time pass until something holds; fails after a minute of virtual time. */
+  /** Advances the virtual time until a condition holds; fails after a minute of virtual time. */
   public void until(String what, BooleanSupplier condition) {
     long end = now + 60_000;
     while (!condition.getAsBoolean()) {
@@ -190,25 +191,25 @@
   }
 
   private void step() {
-    Due due = queue.remove();
-    now = due.at();
+    ScheduledAction next = queue.remove();
+    now = next.at();
     workers.values().forEach(worker -> worker.tick(now));
-    due.action().run();
+    next.action().run();
   }
 
-  /** Does something after a while. */
+  /** Schedules an action after a delay in virtual time. */
   public void after(long millis, Runnable action) {
-    queue.add(new Due(now + millis, order++, action));
+    queue.add(new ScheduledAction(now + millis, order++, action));
   }
 
-  /** Lets orders that were held up go on to workers and endpoints. */
+  /** Delivers the held orders to workers and endpoints. */
   public void releaseOrders() {
     List<Runnable> orders = List.copyOf(heldOrders);
     heldOrders.clear();
     orders.forEach(Runnable::run);
   }
 
-  /** Sends a request; its answer shows in the node's answers. */
+  /** Sends a request; its answer will be among the node's answers. */
   public RequestId request(Node node, String row, String key, String body, long millis) {
     RequestId id = new RequestId(++numbers);
     node.accept(
@@ -223,7 +224,7 @@
     return id;
   }
 
-  /** Submits a task; its answer shows in the node's tickets. */
+  /** Submits a task; the answer will be among the node's tickets. */
   public long submit(Node node, String task, String row) {
     long ticket = ++numbers;
     node.accept(
@@ -231,7 +232,7 @@
     return ticket;
   }
 
-  /** Cancels a task. */
+  /** Cancels a task; the answer will be among the node's tickets. */
   public long cancel(Node node, String task) {
     long ticket = ++numbers;
     node.accept(new TaskEvent.CancelAsked(ticket, new TaskId(task)));
@@ -260,7 +261,7 @@
     return workers.values().stream().anyMatch(worker -> worker.running(name));
   }
 
-  void carryOut(Node node, Effect effect) {
+  void execute(Node node, Effect effect) {
     if (effect instanceof Effect.After after) {
       after(after.millis(), () -> node.accept(after.event()));
     } else if (effect instanceof StoreEffect.Commit commit) {
@@ -282,11 +283,14 @@
     } else if (effect instanceof Effect.Halt) {
       node.halted();
     } else {
-      LabOrders.carryOut(this, node, effect);
+      SimulationOrders.execute(this, node, effect);
     }
   }
 
-  /** Sends an order on its way; it may be held up there, and arrives even if the sender is gone. */
+  /**
+   * Sends an order. It may be held until {@link #releaseOrders}, and it arrives even if its sender
+   * no longer exists.
+   */
   void order(Node node, Runnable arrival) {
     if (node.ordersHeld) {
       heldOrders.add(arrival);
@@ -295,11 +299,11 @@
     }
   }
 
-  void reply(Node node, BooleanSupplier up, Supplier<Event> event) {
+  void reply(Node node, BooleanSupplier condition, Supplier<Event> event) {
     after(
         LATENCY,
         () -> {
-          if (up.getAsBoolean()) {
+          if (condition.getAsBoolean()) {
             node.accept(event.get());
           }
         });
@@ -318,14 +322,14 @@
               conflicts.isEmpty()
                   ? new StoreEvent.Committed(commit.batch())
                   : new StoreEvent.Conflicted(commit.batch(), conflicts);
-          boolean heard = node.storeAnswers && !loses(node, commit);
+          boolean answered = node.storeAnswers && !losesAnswer(node, commit);
           after(
               LATENCY,
-              () -> node.accept(heard ? answer : new StoreEvent.Unanswered(commit.batch())));
+              () -> node.accept(answered ? answer : new StoreEvent.Unanswered(commit.batch())));
         });
   }
 
-  private static boolean loses(Node node, StoreEffect.Commit commit) {
+  private static boolean losesAnswer(Node node, StoreEffect.Commit commit) {
     boolean matches =
         !node.loseNextAnswerAbout.isEmpty()
             && commit.writes().toString().contains(node.loseNextAnswerAbout);
@@ -345,13 +349,13 @@
         });
   }
 
-  /** Cuts two entry instances off from each other. */
-  public void cut(Node one, Node other) {
-    cuts.add(Set.of(one.address(), other.address()));
+  /** Disconnects two entry instances from each other. */
+  public void disconnect(Node one, Node other) {
+    disconnected.add(Set.of(one.address(), other.address()));
   }
 
-  private boolean joined(Node one, Node other) {
-    return !cuts.contains(Set.of(one.address(), other.address()));
+  private boolean connected(Node one, Node other) {
+    return !disconnected.contains(Set.of(one.address(), other.address()));
   }
 
   private void send(Node from, PeerEffect.Send send) {
@@ -370,18 +374,21 @@
     return nodes.stream()
         .filter(node -> node.address().equals(address))
         .filter(Node::connected)
-        .filter(node -> from.networkUp && joined(from, node))
+        .filter(node -> from.networkUp && connected(from, node))
         .findFirst();
   }
 
-  /** What left before the connection broke may have arrived; what found none did not leave. */
+  /**
+   * Returns the event for a message that was not received. A message that was sent before the
+   * connection broke may have arrived. A message for which there was no connection was not sent.
+   */
   private static Event notReceived(PeerEffect.Send send, boolean left) {
     return left
         ? new PeerEvent.Lost(send.address())
         : new PeerEvent.Undelivered(send.address(), send.message());
   }
 
-  /** Tells an instance that its connection to another one broke. */
+  /** Notifies an instance that its connection to another one broke. */
   public void breakConnection(Node node, Node other) {
     node.accept(new PeerEvent.Lost(other.address()));
   }
@@ -407,10 +414,10 @@
 
   private MemberInfo member(MemberKind kind, String name, int slots, Demand capacity) {
     return new MemberInfo(
-        kind, name, DATA_CENTRE, name, leaving.containsKey(name), slots, capacity, "rack");
+        kind, name, DATA_CENTRE, name, markLeaving.containsKey(name), slots, capacity, "rack");
   }
 
-  /** Returns the event of a worker's report, as it stands now. */
+  /** Returns a report event with the current state of a worker. */
   static Event report(FakeWorker worker, TaskEffect.PollWorker poll, long now) {
     return new WorkerEvent.Reported(
         poll.worker(), poll.askedAt(), worker.boot(), now, worker.reports());
--- a/core/src/test/java/org/cottontack/core/lab/LabTable.java
+++ b/core/src/test/java/org/cottontack/core/lab/SimulationTable.java
@@ -9,10 +9,10 @@
 import org.cottontack.core.table.TeamSpec;
 import org.cottontack.core.task.Demand;
 
-/** The table of the lab: two services, three batch classes, one team. */
-public final class LabTable {
+/** The table of the simulation: two service rows, three batch rows, one team. */
+public final class SimulationTable {
 
-  private LabTable() {}
+  private SimulationTable() {}
 
   /** Returns the table. */
   public static TableContent content() {
--- a/core/src/test/java/org/cottontack/core/lab/package-info.java
+++ b/core/src/test/java/org/cottontack/core/lab/package-info.java
@@ -1,2 +1,2 @@
-/** Small fakes at the ports and a virtual clock, for tests of the real reducer. */
+/** Simulated ports and a virtual clock, for tests of the real reducer. */
 package org.cottontack.core.lab;
--- a/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
+++ b/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
@@ -10,8 +10,8 @@
 import org.cottontack.core.id.RequestId;
 import org.cottontack.core.lab.FakeEndpoint;
 import org.cottontack.core.lab.FakeWorker;
-import org.cottontack.core.lab.Lab;
 import org.cottontack.core.lab.Node;
+import org.cottontack.core.lab.Simulation;
 import org.cottontack.core.request.Code;
 import org.cottontack.core.request.Ran;
 import org.cottontack.core.task.TaskPhase;
@@ -29,7 +29,7 @@
   /** A simulation with two entry instances, four endpoints and four workers. */
   public abstract static class TwoInstances {
 
-    Lab lab;
+    Simulation lab;
     Node first;
     Node second;
     List<FakeEndpoint> endpoints;
@@ -37,7 +37,7 @@
     /** Starts the simulation and waits until all workers and endpoints are owned. */
     @BeforeMethod
     public void start() {
-      lab = new Lab();
+      lab = new Simulation();
       endpoints = List.of("e1", "e2", "e3", "e4").stream().map(n -> lab.endpoint(n, 2)).toList();
       List.of("w1", "w2", "w3", "w4").forEach(name -> lab.worker(name, 8));
       first = lab.start("a:1");
@@ -109,7 +109,7 @@
       second.kill();
       Node third = lab.start("a:1");
       Node fourth = lab.start("b:1");
-      lab.run(Lab.LEASE);
+      lab.run(Simulation.LEASE);
       assertEquals(slots(third) + slots(fourth), 8);
       assertNoViolations();
     }
@@ -182,7 +182,7 @@
       lab.until("the task runs", () -> lab.taskRuns("long"));
       first.storeUp = false;
       second.storeUp = false;
-      lab.run(10 * Lab.LEASE);
+      lab.run(10 * Simulation.LEASE);
       RequestId id = lab.request(first, "check", "", "in the outage", 0);
       lab.run(500);
       assertEquals(first.answers.get(id).code(), Code.OK);
@@ -202,7 +202,7 @@
     public void promisesEndAtTheHorizon() {
       first.storeUp = false;
       second.storeUp = false;
-      lab.run(Lab.HORIZON + Lab.LEASE);
+      lab.run(Simulation.HORIZON + Simulation.LEASE);
       assertFalse(first.state().ownership().mayAct(first.state().mono()));
       RequestId id = lab.request(first, "check", "", "too late", 0);
       lab.run(2_500);
@@ -221,12 +221,12 @@
       first.storeUp = false;
       second.storeUp = false;
       Node fresh = lab.start("c:1");
-      lab.run(5 * Lab.LEASE);
+      lab.run(5 * Simulation.LEASE);
       assertEquals(slots(fresh), 0);
       for (int i = 0; i < 8; i++) {
         lab.request(i % 2 == 0 ? first : second, "check", "", "r" + i, 0);
       }
-      lab.run(Lab.HORIZON + 3 * Lab.LEASE);
+      lab.run(Simulation.HORIZON + 3 * Simulation.LEASE);
       assertEquals(slots(fresh), 8);
       assertNoViolations();
     }
@@ -280,7 +280,7 @@
       Node third = lab.start("c:1");
       lab.until("shared", () -> slots(first) + slots(second) + slots(third) == 8);
       lab.run(2_000);
-      lab.cut(first, third);
+      lab.disconnect(first, third);
       first.storeUp = false;
       for (int i = 0; i < 200; i++) {
         for (Node node : List.of(first, second, third)) {
--- a/core/src/test/java/org/cottontack/core/table/TableTest.java
+++ b/core/src/test/java/org/cottontack/core/table/TableTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.cottontack.core.lab.Lab;
-import org.cottontack.core.lab.LabTable;
 import org.cottontack.core.lab.Node;
+import org.cottontack.core.lab.Simulation;
+import org.cottontack.core.lab.SimulationTable;
 import org.cottontack.core.request.Code;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -19,14 +19,14 @@
   /** A simulation with two entry instances. */
   public abstract static class TwoInstances {
 
-    Lab lab;
+    Simulation lab;
     Node first;
     Node second;
 
     /** Starts both instances. */
     @BeforeMethod
     public void start() {
-      lab = new Lab();
+      lab = new Simulation();
       first = lab.start("a:1");
       second = lab.start("b:1");
       lab.run(5_000);
@@ -34,7 +34,8 @@
 
     static void edit(Node node, long ticket, long expected, int limit) {
       node.accept(
-          new TableEvent.EditAsked(ticket, expected, "op" + ticket, LabTable.content(limit)));
+          new TableEvent.EditAsked(
+              ticket, expected, "op" + ticket, SimulationTable.content(limit)));
     }
 
     static long version(Node node) {
--- a/core/src/test/java/org/cottontack/core/task/TaskTest.java
+++ b/core/src/test/java/org/cottontack/core/task/TaskTest.java
@@ -8,20 +8,20 @@
 import org.cottontack.core.id.RowName;
 import org.cottontack.core.id.TaskId;
 import org.cottontack.core.lab.FakeWorker;
-import org.cottontack.core.lab.Lab;
 import org.cottontack.core.lab.Node;
+import org.cottontack.core.lab.Simulation;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A task runs in one place, resumes once and ends once. */
+/** Tests that a task runs in one place at a time, resumes once and ends once. */
 public final class TaskTest {
 
   private TaskTest() {}
 
-  /** A lab with one entry instance and two workers. */
+  /** A simulation with one entry instance and two workers. */
   public abstract static class OneInstance {
 
-    Lab lab;
+    Simulation simulation;
     Node node;
     FakeWorker left;
     FakeWorker right;
@@ -29,11 +29,11 @@
     /** Starts everything and waits until both workers are owned. */
     @BeforeMethod
     public void start() {
-      lab = new Lab();
-      left = lab.worker("left", 8);
-      right = lab.worker("right", 8);
-      node = lab.start("a:1");
-      lab.until("owned", () -> node.state().tasks().loaded().size() == 2);
+      simulation = new Simulation();
+      left = simulation.worker("left", 8);
+      right = simulation.worker("right", 8);
+      node = simulation.start("a:1");
+      simulation.until("owned", () -> node.state().tasks().loaded().size() == 2);
     }
 
     FakeWorker hostOf(String task) {
@@ -41,41 +41,41 @@
     }
 
     void run(String task) {
-      lab.submit(node, task, "reconcile");
-      lab.until(task + " runs", () -> lab.taskRuns(task));
-      lab.run(1_500);
+      simulation.submit(node, task, "reconcile");
+      simulation.until(task + " runs", () -> simulation.taskRuns(task));
+      simulation.run(1_500);
     }
 
     int starts() {
       return left.started().size() + right.started().size();
     }
 
-    void assertNothingBroken() {
-      assertEquals(lab.violations(), List.of());
+    void assertNoViolations() {
+      assertEquals(simulation.violations(), List.of());
     }
   }
 
-  /** The plain way of a task. */
-  public static final class Plain extends OneInstance {
+  /** Tasks without failures of workers or the store. */
+  public static final class NormalOperation extends OneInstance {
 
-    /** A submitted task runs once, ends, and its record moves to the ended ones. */
+    /** A submitted task runs once and ends, and its record moves to the ended tasks. */
     @Test
     public void runsOnceAndEnds() {
       run("t");
       hostOf("t").finish("t");
-      lab.until("it ends", () -> lab.taskIs("t", TaskPhase.FINISHED));
-      lab.run(10_000);
+      simulation.until("it ends", () -> simulation.taskIs("t", TaskPhase.FINISHED));
+      simulation.run(10_000);
       assertEquals(starts(), 1);
       assertTrue(node.state().tasks().tasks().isEmpty());
     }
 
-    /** The same submission again is answered as the first one was; another one is refused. */
+    /** A repeated submission gets the same answer; another one with the same id is refused. */
     @Test
     public void submittingAgainIsIdempotent() {
       run("t");
-      long again = lab.submit(node, "t", "reconcile");
-      long other = lab.submit(node, "t", "recall");
-      lab.run(500);
+      long again = simulation.submit(node, "t", "reconcile");
+      long other = simulation.submit(node, "t", "recall");
+      simulation.run(500);
       assertEquals(node.tickets.get(again).verdict(), TaskEffect.Verdict.DONE);
       assertEquals(node.tickets.get(other).verdict(), TaskEffect.Verdict.ID_TAKEN);
       assertEquals(starts(), 1);
@@ -86,236 +86,246 @@
     public void submittingAgainAfterTheEndDoesNotRunIt() {
       run("t");
       hostOf("t").finish("t");
-      lab.until("it ends", () -> lab.taskIs("t", TaskPhase.FINISHED));
-      long again = lab.submit(node, "t", "reconcile");
-      lab.run(5_000);
+      simulation.until("it ends", () -> simulation.taskIs("t", TaskPhase.FINISHED));
+      long again = simulation.submit(node, "t", "reconcile");
+      simulation.run(5_000);
       assertEquals(node.tickets.get(again).verdict(), TaskEffect.Verdict.DONE);
       assertEquals(starts(), 1);
     }
 
-    /** Workers are never given more than they hold, and what waits runs when there is room. */
+    /** No worker gets more than its capacity, and waiting tasks run when capacity is free. */
     @Test
-    public void fillsButNeverOverfills() {
+    public void usesAllCapacityButNoMore() {
       for (int i = 0; i < 10; i++) {
-        lab.submit(node, "t" + i, "reconcile");
+        simulation.submit(node, "t" + i, "reconcile");
       }
-      lab.run(5_000);
+      simulation.run(5_000);
       assertEquals(starts(), 8);
       left.finish(left.started().get(0).task().value());
-      lab.run(3_000);
+      simulation.run(3_000);
       assertEquals(starts(), 9);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
-    /** Urgent tasks go before those that were submitted earlier. */
+    /** Urgent tasks are placed before tasks that were submitted earlier. */
     @Test
     public void urgentGoesFirst() {
       for (int i = 0; i < 8; i++) {
         run("t" + i);
       }
-      lab.submit(node, "waits", "reconcile");
-      lab.submit(node, "urgent", "recall");
-      lab.run(500);
+      simulation.submit(node, "waits", "reconcile");
+      simulation.submit(node, "urgent", "recall");
+      simulation.run(500);
       left.finish(left.started().get(0).task().value());
-      lab.until("one runs", () -> lab.taskRuns("urgent") || lab.taskRuns("waits"));
-      assertTrue(lab.taskRuns("urgent"));
+      simulation.until(
+          "one runs", () -> simulation.taskRuns("urgent") || simulation.taskRuns("waits"));
+      assertTrue(simulation.taskRuns("urgent"));
     }
   }
 
-  /** Answers of the store or of workers are lost. */
+  /** Tasks whose answers from the store or from workers are lost. */
   public static final class LostAnswers extends OneInstance {
 
     /**
-     * A task seems to run twice. The write that places it takes effect and its answer is lost; the
-     * same write is sent again, conflicts with itself, and counts as done. One start follows.
+     * Guards against a second start of a task whose placement takes effect while the answer to the
+     * write is lost. The same write is sent again, conflicts with itself, and counts as done. One
+     * start follows.
      */
     @Test
     public void placementWhoseAnswerIsLostIsMadeOnce() {
-      lab.submit(node, "t", "reconcile");
-      lab.run(30);
+      simulation.submit(node, "t", "reconcile");
+      simulation.run(30);
       node.storeAnswers = false;
-      lab.until("placed in the store", () -> lab.taskIs("t", TaskPhase.PLACED));
-      lab.run(1_000);
-      assertFalse(lab.taskRuns("t"), "no order before the write is known to have taken effect");
+      simulation.until("placed in the store", () -> simulation.taskIs("t", TaskPhase.PLACED));
+      simulation.run(1_000);
+      assertFalse(
+          simulation.taskRuns("t"), "no order before the write is known to have taken effect");
       node.storeAnswers = true;
-      lab.until("it runs", () -> lab.taskRuns("t"));
-      lab.run(10_000);
+      simulation.until("it runs", () -> simulation.taskRuns("t"));
+      simulation.run(10_000);
       assertEquals(starts(), 1);
-      assertEquals(lab.task("t").attempt(), 1);
+      assertEquals(simulation.task("t").attempt(), 1);
     }
 
-    /** The answer to a start is lost; the worker's report tells, and nothing starts twice. */
+    /**
+     * If the answer to a start is lost, the worker's report shows the run and nothing starts twice.
+     */
     @Test
     public void startWhoseAnswerIsLostIsNotRepeatedElsewhere() {
-      lab.submit(node, "t", "reconcile");
-      lab.until("placed in the store", () -> lab.taskIs("t", TaskPhase.PLACED));
+      simulation.submit(node, "t", "reconcile");
+      simulation.until("placed in the store", () -> simulation.taskIs("t", TaskPhase.PLACED));
       left.answers = false;
       right.answers = false;
-      lab.until("it runs", () -> lab.taskRuns("t"));
-      lab.run(1_000);
+      simulation.until("it runs", () -> simulation.taskRuns("t"));
+      simulation.run(1_000);
       left.answers = true;
       right.answers = true;
-      lab.run(10_000);
+      simulation.run(10_000);
       assertEquals(starts(), 1);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
-     * A task seems to run twice. Its start order is still on the wire when the worker reports that
-     * it does not have the task; it must not be placed again until that order has expired.
+     * Guards against a second start of a task whose start order is still in flight when the worker
+     * reports that it does not have the task. The task must not be placed again until that order
+     * has expired.
      */
     @Test
-    public void reportsBeforeTheOrderArrivesProveNothing() {
+    public void reportsBeforeTheOrderArrivesDoNotRequeue() {
       node.startDelay = 450;
-      lab.submit(node, "t", "reconcile");
-      lab.run(15_000);
+      simulation.submit(node, "t", "reconcile");
+      simulation.run(15_000);
       assertEquals(starts(), 1);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
-    /** The end of a task is recorded although the answer of that write is lost. */
+    /** The end of a task is recorded even if the answer to that write is lost. */
     @Test
-    public void anEndWhoseAnswerIsLostIsRecordedOnce() {
+    public void endWhoseAnswerIsLostIsRecordedOnce() {
       run("t");
       node.loseNextAnswerAbout = "ended/";
       hostOf("t").finish("t");
-      lab.until("it ends", () -> lab.taskIs("t", TaskPhase.FINISHED));
-      lab.run(10_000);
+      simulation.until("it ends", () -> simulation.taskIs("t", TaskPhase.FINISHED));
+      simulation.run(10_000);
       assertEquals(starts(), 1);
       assertTrue(node.state().tasks().tasks().isEmpty());
     }
   }
 
-  /** Workers fall silent, restart, leave or fail everything. */
-  public static final class WorkerTrouble extends OneInstance {
+  /** Tasks whose workers fall silent, restart, leave, fail every attempt or run orphans. */
+  public static final class WorkerFailures extends OneInstance {
 
     /**
-     * A cut-off worker may still run its task. The task is placed elsewhere only after the last
-     * renewal that can have reached it has run out, and it resumes from its checkpoint, once.
+     * An unreachable worker may still run its task. The task is placed elsewhere only after the
+     * last renewal that can have reached the worker has expired. It then resumes from its
+     * checkpoint, once.
      */
     @Test
     public void silentWorkersTaskWaitsForItsLease() {
       run("t");
       FakeWorker host = hostOf("t");
-      host.hears = false;
-      lab.run(Lab.TASK_LEASE - 1_000);
+      host.receivesOrders = false;
+      simulation.run(Simulation.TASK_LEASE - 1_000);
       assertEquals(starts(), 1);
-      lab.until("it runs again", () -> starts() == 2);
+      simulation.until("it runs again", () -> starts() == 2);
       assertFalse(host.running("t"));
-      host.hears = true;
-      lab.run(15_000);
+      host.receivesOrders = true;
+      simulation.run(15_000);
       assertEquals(starts(), 2);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
-     * A batch of notices goes out twice. Its worker falls silent, and may have sent them all before
-     * its lease ran out. Its row is not idempotent, so the task ends in doubt; it does not run
-     * again.
+     * Guards against a batch of notices that is sent twice. Its worker falls silent and may have
+     * sent all notices before the lease expired. Because the row is not idempotent, the task ends
+     * in doubt and does not run again.
      */
     @Test
     public void notRepeatableTasksEndInDoubt() {
-      lab.submit(node, "n", "notice");
-      lab.until("it runs", () -> lab.taskRuns("n"));
-      lab.run(1_500);
+      simulation.submit(node, "n", "notice");
+      simulation.until("it runs", () -> simulation.taskRuns("n"));
+      simulation.run(1_500);
       FakeWorker host = hostOf("n");
-      host.hears = false;
-      lab.until("in doubt", () -> lab.taskIs("n", TaskPhase.IN_DOUBT));
-      host.hears = true;
-      lab.run(15_000);
+      host.receivesOrders = false;
+      simulation.until("in doubt", () -> simulation.taskIs("n", TaskPhase.IN_DOUBT));
+      host.receivesOrders = true;
+      simulation.run(15_000);
       assertEquals(starts(), 1);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
-    /** What was stopped with a checkpoint is known not to have ended: it resumes all the same. */
+    /**
+     * A task that may not be repeated resumes if it was stopped with a checkpoint before its end.
+     */
     @Test
     public void notRepeatableTasksResumeFromCheckpoints() {
-      lab.submit(node, "n", "notice");
-      lab.until("it runs", () -> lab.taskRuns("n"));
-      lab.run(1_500);
-      lab.leaving(hostOf("n") == left ? "left" : "right");
-      lab.until("it runs elsewhere", () -> starts() == 2);
-      lab.run(10_000);
+      simulation.submit(node, "n", "notice");
+      simulation.until("it runs", () -> simulation.taskRuns("n"));
+      simulation.run(1_500);
+      simulation.markLeaving(hostOf("n") == left ? "left" : "right");
+      simulation.until("it runs elsewhere", () -> starts() == 2);
+      simulation.run(10_000);
       assertEquals(starts(), 2);
     }
 
-    /** A restarted worker has lost its tasks; they resume on a worker, once each. */
+    /** The tasks that a restarted worker lost resume on some worker, once each. */
     @Test
     public void restartedWorkersTasksResumeOnce() {
       run("t");
       hostOf("t").restart();
-      lab.until("it runs again", () -> starts() == 2);
-      lab.run(15_000);
+      simulation.until("it runs again", () -> starts() == 2);
+      simulation.run(15_000);
       assertEquals(starts(), 2);
-      assertEquals(lab.task("t").attempt(), 2);
+      assertEquals(simulation.task("t").attempt(), 2);
     }
 
-    /** A leaving worker gets nothing new; what it runs is checkpointed and resumes elsewhere. */
+    /** A leaving worker gets no new task; its tasks are checkpointed and resume elsewhere. */
     @Test
-    public void leavingWorkerIsEmptied() {
+    public void leavingWorkerIsDrained() {
       run("t");
       FakeWorker host = hostOf("t");
-      lab.leaving(host == left ? "left" : "right");
-      lab.until("it runs elsewhere", () -> starts() == 2 && !host.running("t"));
-      lab.submit(node, "later", "reconcile");
-      lab.run(5_000);
+      simulation.markLeaving(host == left ? "left" : "right");
+      simulation.until("it runs elsewhere", () -> starts() == 2 && !host.running("t"));
+      simulation.submit(node, "later", "reconcile");
+      simulation.run(5_000);
       assertFalse(host.running("later"));
       assertEquals(starts(), 3);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
-     * A worker that fails everything would eat every task. After a few failures in a row it gets
-     * none for a while, and then one at a time; the tasks finish elsewhere.
+     * Guards against a worker that fails every attempt and therefore always has free capacity for
+     * the next task. After a few failures in a row it gets no tasks for a while, and then one at a
+     * time; the tasks finish elsewhere.
      */
     @Test
-    public void workerThatFailsEverythingIsAvoided() {
+    public void workerThatFailsEverythingIsQuarantined() {
       left.failsAll = true;
       for (int i = 0; i < 8; i++) {
-        lab.submit(node, "t" + i, "reconcile");
+        simulation.submit(node, "t" + i, "reconcile");
       }
-      lab.run(6_000);
+      simulation.run(6_000);
       int tried = left.started().size();
       for (int i = 0; i < 8; i++) {
-        assertFalse(lab.taskIs("t" + i, TaskPhase.FAILED));
+        assertFalse(simulation.taskIs("t" + i, TaskPhase.FAILED));
       }
-      lab.run(10_000);
+      simulation.run(10_000);
       assertEquals(left.started().size(), tried, "quarantined");
       assertTrue(tried <= 8, "tried " + tried);
     }
 
     /**
-     * A worker runs an attempt that no record allows. It takes capacity until it is stopped, so
-     * nothing is placed beside it before that.
+     * Guards against an overloaded worker: an attempt that no record allows (an orphan) occupies
+     * capacity until it is stopped, so nothing is placed on the worker before that.
      */
     @Test
-    public void strayAttemptsAreStoppedFirst() {
+    public void orphansAreStoppedFirst() {
       for (int i = 0; i < 12; i++) {
-        lab.submit(node, "t" + i, "reconcile");
+        simulation.submit(node, "t" + i, "reconcile");
       }
-      lab.run(5_000);
+      simulation.run(5_000);
       assertEquals(starts(), 8);
       node.scanDelay = 1_500;
       left.inject(new Run(new TaskId("stray"), 7), new Demand(8_000, 1_000, 0));
-      lab.run(2_500);
+      simulation.run(2_500);
       List.copyOf(left.started()).forEach(run -> left.finish(run.task().value()));
-      lab.run(5_000);
+      simulation.run(5_000);
       node.scanDelay = 2;
-      lab.run(15_000);
+      simulation.run(15_000);
       assertFalse(left.running("stray"));
       assertEquals(starts(), 12);
-      assertNothingBroken();
+      assertNoViolations();
     }
 
-    /** A task that fails wherever it runs is given up after three workers. */
+    /** A task that fails on three workers is recorded as failed. */
     @Test
     public void taskThatFailsEverywhereEnds() {
-      FakeWorker third = lab.worker("third", 8);
+      FakeWorker third = simulation.worker("third", 8);
       List.of(left, right, third).forEach(worker -> worker.failsAll = true);
-      lab.run(3_000);
-      lab.submit(node, "t", "reconcile");
-      lab.until("it ends", () -> lab.taskIs("t", TaskPhase.FAILED));
-      assertEquals(lab.task("t").failedOn().size(), 3);
+      simulation.run(3_000);
+      simulation.submit(node, "t", "reconcile");
+      simulation.until("it ends", () -> simulation.taskIs("t", TaskPhase.FAILED));
+      assertEquals(simulation.task("t").failedOn().size(), 3);
     }
   }
 
@@ -328,12 +338,12 @@
       for (int i = 0; i < 8; i++) {
         run("t" + i);
       }
-      lab.submit(node, "waits", "reconcile");
-      lab.run(500);
-      lab.cancel(node, "waits");
-      lab.until("cancelled", () -> lab.taskIs("waits", TaskPhase.CANCELLED));
+      simulation.submit(node, "waits", "reconcile");
+      simulation.run(500);
+      simulation.cancel(node, "waits");
+      simulation.until("cancelled", () -> simulation.taskIs("waits", TaskPhase.CANCELLED));
       left.finish(left.started().get(0).task().value());
-      lab.run(5_000);
+      simulation.run(5_000);
       assertEquals(starts(), 8);
     }
 
@@ -341,59 +351,60 @@
     @Test
     public void runningTaskIsStopped() {
       run("t");
-      lab.cancel(node, "t");
-      lab.until("cancelled", () -> lab.taskIs("t", TaskPhase.CANCELLED));
-      lab.run(5_000);
+      simulation.cancel(node, "t");
+      simulation.until("cancelled", () -> simulation.taskIs("t", TaskPhase.CANCELLED));
+      simulation.run(5_000);
       assertEquals(starts(), 1);
-      assertFalse(lab.taskRuns("t"));
+      assertFalse(simulation.taskRuns("t"));
     }
 
     /**
-     * A task finishes, its worker is told to leave and its caller cancels it, all at once. Whatever
-     * comes first is its one end; it neither resumes nor ends twice.
+     * A task finishes while its worker is marked as leaving and its caller cancels it. Whichever
+     * comes first is its only end: it neither resumes nor ends twice.
      */
     @Test
     public void evictionCompletionAndCancelTogetherEndOnce() {
       run("t");
       FakeWorker host = hostOf("t");
       host.finish("t");
-      lab.leaving(host == left ? "left" : "right");
-      final long ticket = lab.cancel(node, "t");
-      lab.run(15_000);
+      simulation.markLeaving(host == left ? "left" : "right");
+      final long ticket = simulation.cancel(node, "t");
+      simulation.run(15_000);
       assertEquals(starts(), 1);
-      assertTrue(lab.task("t").phase().ended());
+      assertTrue(simulation.task("t").phase().ended());
       assertEquals(node.tickets.get(ticket).verdict(), TaskEffect.Verdict.DONE);
     }
 
-    /** A task larger than any worker is said to be so, and does not block those behind it. */
+    /** A task larger than every worker ends as never runnable, and blocks no task behind it. */
     @Test
-    public void taskThatFitsNoWorkerIsSaidSo() {
+    public void taskThatFitsNoWorkerIsNeverRunnable() {
       node.accept(
           new TaskEvent.SubmitAsked(
               99, new TaskId("huge"), new RowName("recall"), "input", new Demand(900_000, 1, 0)));
-      lab.submit(node, "small", "reconcile");
-      lab.until("the small one runs", () -> lab.taskRuns("small"));
-      lab.until("said so", () -> lab.taskIs("huge", TaskPhase.NEVER_RUNNABLE));
+      simulation.submit(node, "small", "reconcile");
+      simulation.until("the small one runs", () -> simulation.taskRuns("small"));
+      simulation.until(
+          "it is never runnable", () -> simulation.taskIs("huge", TaskPhase.NEVER_RUNNABLE));
     }
 
-    /** A wave of cancellations leaves the rest running and urgent work starting. */
+    /** Many cancellations at once delay neither running tasks nor the start of an urgent one. */
     @Test
-    public void waveOfCancellationsStarvesNothing() {
+    public void manyCancellationsDoNotDelayUrgentTasks() {
       for (int i = 0; i < 60; i++) {
-        lab.submit(node, "t" + i, "reconcile");
+        simulation.submit(node, "t" + i, "reconcile");
       }
-      lab.run(3_000);
+      simulation.run(3_000);
       for (int i = 0; i < 60; i++) {
-        lab.cancel(node, "t" + i);
+        simulation.cancel(node, "t" + i);
       }
-      lab.submit(node, "urgent", "recall");
-      lab.run(1_800);
-      assertTrue(lab.taskRuns("urgent"));
-      lab.run(5_000);
+      simulation.submit(node, "urgent", "recall");
+      simulation.run(1_800);
+      assertTrue(simulation.taskRuns("urgent"));
+      simulation.run(5_000);
       for (int i = 0; i < 60; i++) {
-        assertTrue(lab.taskIs("t" + i, TaskPhase.CANCELLED), "t" + i);
+        assertTrue(simulation.taskIs("t" + i, TaskPhase.CANCELLED), "t" + i);
       }
-      assertNothingBroken();
+      assertNoViolations();
     }
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/http/Refusal.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/Refusal.java
@@ -24,13 +24,13 @@
     return new Refusal(
         answer.code().word(),
         answer.code().ran().word(),
-        answer.code().sentence(),
+        answer.code().message(),
         answer.retryAfterMillis());
   }
 
   static Refusal of(TaskEffect.Verdict verdict) {
     return new Refusal(
-        verdict.word(), verdict.ran().word(), verdict.sentence(), verdict.retryAfterMillis());
+        verdict.word(), verdict.ran().word(), verdict.message(), verdict.retryAfterMillis());
   }
 
   static Refusal notRun(String code, String message) {
