--- a/daemon/src/main/java/org/cottontack/daemon/Daemon.java
+++ b/daemon/src/main/java/org/cottontack/daemon/Daemon.java
@@ -39,7 +39,7 @@
 import org.cottontack.daemon.timeline.HybridClock;
 import org.cottontack.daemon.timeline.Timeline;
 
-/** One entry instance: wires the engine to its adapters and runs until it has left. */
+/** An entry instance: connects the engine to its adapters and runs until it has left. */
 public final class Daemon implements AutoCloseable {
 
   private static final Logger LOG = LogManager.getLogger(Daemon.class);
@@ -58,7 +58,10 @@
   private final HttpServer callers;
   private final HttpServer operators;
 
-  /** Starts an entry instance; it listens when this returns and is ready a little later. */
+  /**
+   * Starts an entry instance. Its ports are open when the constructor returns; it becomes ready a
+   * little later.
+   */
   public Daemon(DaemonSettings settings) {
     this.settings = settings;
     this.group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
@@ -148,11 +151,11 @@
     effects
         .on(PeerEffect.Send.class, send -> peers.send(send.address(), send.message()))
         .on(Effect.After.class, after -> engine.postAfter(after.millis(), after.event()))
-        .on(Effect.Note.class, this::note)
+        .on(Effect.Note.class, this::logEvent)
         .on(Effect.Halt.class, halt -> left.countDown());
   }
 
-  private void note(Effect.Note note) {
+  private void logEvent(Effect.Note note) {
     long stamp = clock.next();
     String instance = engine.state().ownership().self().value();
     timeline.add(
@@ -180,7 +183,7 @@
   }
 
   /**
-   * Waits until this instance has left by an operator's order.
+   * Waits until this instance has left on an operator's request.
    *
    * @throws InterruptedException when the thread is interrupted
    */
@@ -188,7 +191,10 @@
     left.await();
   }
 
-  /** Stops gracefully: takes nothing new, finishes what is in flight, gives its share back. */
+  /**
+   * Stops gracefully: accepts no new work, finishes the work in progress and releases its share of
+   * the back ends and workers. Returns whether this was done within the drain time.
+   */
   public boolean stop() throws InterruptedException {
     engine.post(new OwnershipEvent.StopAsked());
     boolean graceful = left.await(settings.number(SettingKey.DRAIN), TimeUnit.MILLISECONDS);
--- a/daemon/src/main/java/org/cottontack/daemon/EffectRunner.java
+++ b/daemon/src/main/java/org/cottontack/daemon/EffectRunner.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.cottontack.core.Effect;
 
-/** Carries out each effect by the adapter for its type. */
+/** Dispatches each effect to the adapter registered for its type. */
 final class EffectRunner {
 
   private final Map<Class<? extends Effect>, Consumer<Effect>> runners = new HashMap<>();
@@ -18,7 +18,8 @@
   void run(Effect effect) {
     Consumer<Effect> runner = runners.get(effect.getClass());
     if (runner == null) {
-      throw new IllegalStateException("nobody carries out " + effect.getClass().getName());
+      throw new IllegalStateException(
+          "no adapter is registered for " + effect.getClass().getName());
     }
     runner.accept(effect);
   }
--- a/daemon/src/main/java/org/cottontack/daemon/Engine.java
+++ b/daemon/src/main/java/org/cottontack/daemon/Engine.java
@@ -14,7 +14,7 @@
 import org.cottontack.core.State;
 import org.cottontack.core.Step;
 
-/** One thread that feeds events to the reducer and hands its effects on, in order. */
+/** A single thread that feeds events to the reducer and carries out its effects in order. */
 public final class Engine implements AutoCloseable {
 
   private static final Logger LOG = LogManager.getLogger(Engine.class);
@@ -34,9 +34,9 @@
   /**
    * Creates an engine; nothing happens before the first event.
    *
-   * @param initial the state to start from
+   * @param initial the initial state
    * @param effects carries out effects; must not block
-   * @param observer sees every event, for metrics
+   * @param observer is called with every event, for metrics
    */
   public Engine(State initial, Consumer<Effect> effects, Consumer<Event> observer) {
     this.state = initial;
@@ -49,30 +49,33 @@
     return System.nanoTime() / NANOS_PER_MILLI;
   }
 
-  /** Returns the time now. */
+  /** Returns the current monotonic and wall-clock time. */
   public static Moment now() {
     return new Moment(mono(), System.currentTimeMillis());
   }
 
-  /** Hands an event to the engine; after it was closed the event is dropped. */
+  /** Queues an event for the engine; after the engine was closed, the event is dropped. */
   public void post(Event event) {
     try {
       thread.execute(() -> reduce(event));
     } catch (RejectedExecutionException e) {
-      LOG.debug("the engine is closed and drops {}", event.getClass().getSimpleName());
+      LOG.debug("the engine is closed; dropped event {}", event.getClass().getSimpleName());
     }
   }
 
-  /** Hands an event to the engine later. */
+  /**
+   * Queues an event for the engine after a delay; after the engine was closed, the event is
+   * dropped.
+   */
   public void postAfter(long millis, Event event) {
     try {
       thread.schedule(() -> reduce(event), millis, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
-      LOG.debug("the engine is closed and drops {}", event.getClass().getSimpleName());
+      LOG.debug("the engine is closed; dropped event {}", event.getClass().getSimpleName());
     }
   }
 
-  /** Returns the state after the last event. */
+  /** Returns the state after the last handled event. */
   public State state() {
     return state;
   }
@@ -84,9 +87,9 @@
       state = step.state();
       step.effects().forEach(effects);
     } catch (RuntimeException e) {
-      // A fault in one event must not end the thread that serves all others; the state before the
-      // event stays in force.
-      LOG.error("an event failed: {}", event, e);
+      // A failure in one event must not end the thread, because it handles all other events too.
+      // The state before the event stays in force.
+      LOG.error("failed to handle event {}", event, e);
     }
   }
 
--- a/daemon/src/main/java/org/cottontack/daemon/Main.java
+++ b/daemon/src/main/java/org/cottontack/daemon/Main.java
@@ -26,21 +26,21 @@
 
   private Main() {}
 
-  @Parameters(commandDescription = "Run an entry instance until it is told to stop.")
+  @Parameters(commandDescription = "Run an entry instance until it is stopped.")
   private static final class Run {
-    @Parameter(names = "--settings", required = true, description = "YAML file of settings.")
+    @Parameter(names = "--settings", required = true, description = "YAML settings file.")
     private String file;
   }
 
-  @Parameters(commandDescription = "Check a file of settings and list every fault.")
+  @Parameters(commandDescription = "Check a settings file and list every fault.")
   private static final class CheckSettings {
     @Parameter(required = true, description = "FILE")
     private List<String> files = new ArrayList<>();
   }
 
   /**
-   * Runs the command. Exit codes: 0 done, 2 wrong usage, 3 bad settings, 4 cannot start, 5 stopped
-   * before everything in flight was done.
+   * Runs the command. Exit codes: 0 success, 2 wrong usage, 3 invalid settings, 4 cannot start, 5
+   * stopped before all work in progress was finished.
    */
   public static void main(String[] args) throws InterruptedException {
     int code = new Main().run(args);
@@ -66,23 +66,23 @@
       }
       return "run".equals(commander.getParsedCommand())
           ? serve(SettingsLoader.load(Path.of(run.file)))
-          : checked(Path.of(check.files.get(0)));
+          : checkSettings(Path.of(check.files.get(0)));
     } catch (ParameterException e) {
-      return complain(USAGE, e.getMessage() + "; try cottontack --help");
+      return printError(USAGE, e.getMessage() + "; try cottontack --help");
     } catch (SettingsException e) {
-      return complain(BAD_SETTINGS, e.getMessage());
+      return printError(BAD_SETTINGS, e.getMessage());
     } catch (AdapterException e) {
-      return complain(CANNOT_START, e.getMessage());
+      return printError(CANNOT_START, e.getMessage());
     }
   }
 
-  private static int checked(Path file) {
+  private static int checkSettings(Path file) {
     SettingsLoader.load(file);
     System.out.println(file + ": good");
     return 0;
   }
 
-  private static int complain(int code, String message) {
+  private static int printError(int code, String message) {
     message.lines().forEach(line -> System.err.println("cottontack: " + line));
     return code;
   }
--- a/daemon/src/main/java/org/cottontack/daemon/http/InstanceStatus.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/InstanceStatus.java
@@ -8,23 +8,23 @@
 import org.cottontack.core.ownership.OwnershipState;
 
 /**
- * How one entry instance is doing.
+ * The status of an entry instance.
  *
  * @param instance its incarnation
  * @param dataCentre its data centre
  * @param phase joining, member, leaving or left
- * @param epoch members' epoch last seen
+ * @param epoch the last known epoch of the membership
  * @param members incarnations of its data centre
- * @param mayAct whether its lease or cover holds now
- * @param actsForMillis how long it holds without another renewal
- * @param storeUnanswered store transactions without an answer in a row
- * @param tableVersion version in force
- * @param tableAgeMillis time since the store last confirmed it
- * @param endpointsHeld endpoints it gives work to
- * @param slotsFree of their slots
- * @param workersOwned workers it gives tasks to
+ * @param mayAct whether its lease or cover is valid now
+ * @param actsForMillis how long its lease or cover stays valid without another renewal
+ * @param storeUnanswered number of consecutive store transactions without an answer
+ * @param tableVersion version of the table in force
+ * @param tableAgeMillis time since the store last confirmed that version, or -1 if it never has
+ * @param endpointsHeld endpoints to which it dispatches work
+ * @param slotsFree free slots of those endpoints
+ * @param workersOwned workers to which it assigns tasks
  * @param requestsOpen requests without a final answer
- * @param tasksKnown tasks it looks after
+ * @param tasksKnown tasks that it manages
  */
 public record InstanceStatus(
     String instance,
@@ -43,7 +43,7 @@
     int requestsOpen,
     int tasksKnown) {
 
-  /** Returns the status that a state shows. */
+  /** Returns the status of an instance in the given state. */
   public static InstanceStatus of(State state) {
     OwnershipState own = state.ownership();
     long now = state.mono();
--- a/daemon/src/main/java/org/cottontack/daemon/http/OperatorRoutes.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/OperatorRoutes.java
@@ -22,7 +22,7 @@
 import org.cottontack.daemon.metrics.MetricsText;
 import org.cottontack.daemon.timeline.Timeline;
 
-/** What operators and the platform's balancer ask one process. */
+/** HTTP routes for operators and for the health checks of the platform's load balancer. */
 public final class OperatorRoutes {
 
   private final Consumer<Event> events;
@@ -48,23 +48,23 @@
   }
 
   /**
-   * The answer to an edit.
+   * The response to an edit of the table.
    *
    * @param verdict accepted, invalid or stale
-   * @param version the version in force at the instance that answered
-   * @param messages one line each
+   * @param version the version in force on the instance that responded
+   * @param messages one message per line
    */
   public record EditResult(String verdict, long version, List<String> messages) {}
 
   /**
-   * The answer to a time line query.
+   * The response to a time line query.
    *
-   * @param dropped events lost here because the memory for them was full
+   * @param dropped number of events dropped by this instance because the time line was full
    * @param entries matching events
    */
   public record TimelinePart(long dropped, List<Timeline.Entry> entries) {}
 
-  /** Adds the routes of the balancer's checks, which callers' port has too. */
+  /** Adds the routes of the load balancer's health checks, which the callers' port serves too. */
   public void addHealthTo(Routes routes) {
     routes
         .on("GET", "/health/live", (call, none) -> call.json(200, "{\"live\":true}"))
@@ -136,7 +136,7 @@
     }
   }
 
-  /** Gives an operator the outcome of an edit. */
+  /** Sends the result of an edit to the operator. */
   public void edited(TableEffect.EditAnswered answer) {
     HttpCall call = edits.remove(answer.ticket());
     if (call == null) {
--- a/daemon/src/main/java/org/cottontack/daemon/http/Refusal.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/Refusal.java
@@ -9,12 +9,12 @@
 import org.cottontack.core.task.TaskEffect;
 
 /**
- * The body of every answer that is not the work's own.
+ * The body of every response that is not the result of the requested work.
  *
  * @param code stable code
  * @param ran {@code ran}, {@code not_run} or {@code unknown}
  * @param message one sentence
- * @param retryAfterMillis when to come back, 0 when coming back makes no sense
+ * @param retryAfterMillis time after which to retry, 0 when a retry makes no sense
  */
 public record Refusal(String code, String ran, String message, long retryAfterMillis) {
 
@@ -37,7 +37,7 @@
     return new Refusal(code, "not_run", message, 0);
   }
 
-  /** Answers a call with this body and the headers that go with it. */
+  /** Responds to a call with this body and the matching headers. */
   void answer(HttpCall call, int status) {
     Map<String, String> headers = new HashMap<>();
     headers.put("content-type", "application/json");
--- a/daemon/src/main/java/org/cottontack/daemon/http/RequestRoutes.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/RequestRoutes.java
@@ -21,11 +21,11 @@
 import org.cottontack.core.request.RequestEvent;
 import org.cottontack.daemon.metrics.DaemonMetrics;
 
-/** Callers' requests: one HTTP call in, one final answer out. */
+/** HTTP route for callers' requests; each call gets exactly one final response. */
 public final class RequestRoutes {
 
   private static final int MAX_KEY_LENGTH = 200;
-  private static final Map<String, String> WHOLE_HEADERS =
+  private static final Map<String, String> RAN_HEADERS =
       Map.of(
           "content-type", "application/json",
           "cottontack-ran", Ran.RAN.word(),
@@ -61,22 +61,25 @@
 
   static CallerId caller(HttpCall call) {
     String name = call.header("x-caller").orElse("anonymous");
-    return new CallerId(safe("X-Caller", name));
+    return new CallerId(validated("X-Caller", name));
   }
 
   private static RowName rowName(String row) {
-    return new RowName(safe("the row", row));
+    return new RowName(validated("the row", row));
   }
 
   private static String key(HttpCall call) {
-    return call.header("idempotency-key").map(key -> safe("Idempotency-Key", key)).orElse("");
+    return call.header("idempotency-key").map(key -> validated("Idempotency-Key", key)).orElse("");
   }
 
-  /** Callers' names become parts of row keys, so a slash would let one caller reach another's. */
-  private static String safe(String what, String value) {
-    boolean good =
+  /**
+   * Returns a value from a caller after checking its characters. The value becomes part of row
+   * keys, so a slash would let one caller access the rows of another.
+   */
+  private static String validated(String what, String value) {
+    boolean valid =
         !value.isBlank() && value.length() <= MAX_KEY_LENGTH && value.matches("[A-Za-z0-9._:~-]+");
-    if (!good) {
+    if (!valid) {
       throw new AdapterException(
           AdapterException.Code.MALFORMED,
           what + " must be 1 to " + MAX_KEY_LENGTH + " of A-Z a-z 0-9 . _ : ~ -",
@@ -106,11 +109,11 @@
       byte[] digest = MessageDigest.getInstance("SHA-256").digest(body.bytes());
       return HexFormat.of().formatHex(digest);
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException("SHA-256 is not available", e);
     }
   }
 
-  /** Gives a caller its final answer. */
+  /** Sends the final response to the caller. */
   public void reply(RequestEffect.Reply reply) {
     Pending waiting = pending.remove(reply.id());
     if (waiting == null) {
@@ -118,9 +121,9 @@
     }
     Answer answer = reply.answer();
     metrics.answered(answer.code().ran(), System.nanoTime() - waiting.startedNanos());
-    boolean whole = answer.code().ran() == Ran.RAN && answer.endpointStatus() > 0;
-    if (whole) {
-      waiting.call().respond(answer.endpointStatus(), WHOLE_HEADERS, answer.body().bytes());
+    boolean ranAtEndpoint = answer.code().ran() == Ran.RAN && answer.endpointStatus() > 0;
+    if (ranAtEndpoint) {
+      waiting.call().respond(answer.endpointStatus(), RAN_HEADERS, answer.body().bytes());
     } else {
       Refusal.of(answer).answer(waiting.call(), answer.code().status());
     }
--- a/daemon/src/main/java/org/cottontack/daemon/http/Routes.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/Routes.java
@@ -9,7 +9,9 @@
 import org.cottontack.adapters.AdapterException;
 import org.cottontack.adapters.http.HttpCall;
 
-/** Picks the handler of an HTTP request by method and path; at most one part of a path varies. */
+/**
+ * Selects the handler of an HTTP call by method and path; a path has at most one variable segment.
+ */
 public final class Routes implements Consumer<HttpCall> {
 
   private record Route(String method, Pattern path, BiConsumer<HttpCall, String> handler) {}
@@ -19,9 +21,9 @@
   /**
    * Adds a route.
    *
-   * @param method such as {@code GET}
-   * @param path with <code>{}</code> for the part that varies
-   * @param handler gets the call and that part, or empty text
+   * @param method the HTTP method, such as {@code GET}
+   * @param path the path, with <code>{}</code> in place of the variable segment
+   * @param handler receives the call and the variable segment, or an empty string if there is none
    */
   public Routes on(String method, String path, BiConsumer<HttpCall, String> handler) {
     String regex = path.replace("{}", "(?<part>[^/]+)");
--- a/daemon/src/main/java/org/cottontack/daemon/http/StoreReader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/StoreReader.java
@@ -18,7 +18,7 @@
 import org.cottontack.core.table.TableRecord;
 import org.cottontack.core.task.TaskEffect;
 
-/** Answers operators' questions from what the store holds, without going through the engine. */
+/** Answers operators' queries directly from the store, without the engine. */
 public final class StoreReader {
 
   private static final long TIMEOUT_MILLIS = 2_000;
@@ -27,9 +27,9 @@
   private final Address store;
   private final DataCentreId dataCentre;
 
-  private record Asked() implements Purpose {}
+  private record OperatorQuery() implements Purpose {}
 
-  /** Creates a reader. */
+  /** Creates a reader of a store. */
   public StoreReader(HttpClient client, Address store, DataCentreId dataCentre) {
     this.client = client;
     this.store = store;
@@ -40,19 +40,19 @@
    * One accepted version of the table.
    *
    * @param version the version
-   * @param editor who made it
-   * @param atWall when, in milliseconds since 1970
-   * @param rows how many rows it has
+   * @param editor who edited it
+   * @param atWall time of the edit, in milliseconds since 1970
+   * @param rows number of rows
    */
   public record HistoryLine(long version, String editor, long atWall, int rows) {}
 
   /**
-   * An entry instance with a lease.
+   * An entry instance that has a lease.
    *
    * @param instance its incarnation
-   * @param key its lease row, which names its data centre
+   * @param key its lease row, which contains its data centre
    * @param address where other entry instances reach it
-   * @param ackedEpoch the epoch it acts under
+   * @param ackedEpoch the epoch that it has acknowledged and acts under
    */
   public record InstanceLine(String instance, String key, String address, long ackedEpoch) {}
 
@@ -93,11 +93,11 @@
   }
 
   private void answer(HttpCall call, String prefix, Function<List<StoreRow>, Object> view) {
-    new HttpTableService(client, store, TIMEOUT_MILLIS, event -> give(call, event, view))
-        .scan(new StoreEffect.Scan(prefix, new Asked()));
+    new HttpTableService(client, store, TIMEOUT_MILLIS, event -> respond(call, event, view))
+        .scan(new StoreEffect.Scan(prefix, new OperatorQuery()));
   }
 
-  private static void give(HttpCall call, Event event, Function<List<StoreRow>, Object> view) {
+  private static void respond(HttpCall call, Event event, Function<List<StoreRow>, Object> view) {
     if (event instanceof StoreEvent.Scanned scanned) {
       call.json(200, Json.write(view.apply(scanned.rows())));
     } else {
--- a/daemon/src/main/java/org/cottontack/daemon/http/TaskRoutes.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/TaskRoutes.java
@@ -18,34 +18,35 @@
 import org.cottontack.core.task.TaskEffect;
 import org.cottontack.core.task.TaskEvent;
 
-/** Callers' tasks: submit, status, cancel. */
+/** HTTP routes for callers' tasks: submit, status, cancel. */
 public final class TaskRoutes {
 
   private static final long TICKET_MILLIS = 5_000;
 
   private final Consumer<Event> events;
-  private final BiConsumer<Long, Event> later;
+  private final BiConsumer<Long, Event> delayedEvents;
   private final AtomicLong tickets = new AtomicLong();
   private final Map<Long, HttpCall> pending = new ConcurrentHashMap<>();
 
   /**
    * Creates the routes.
    *
-   * @param events takes an event now
-   * @param later takes an event after some milliseconds
+   * @param events handles an event at once
+   * @param delayedEvents handles an event after a number of milliseconds
    */
-  public TaskRoutes(Consumer<Event> events, BiConsumer<Long, Event> later) {
+  public TaskRoutes(Consumer<Event> events, BiConsumer<Long, Event> delayedEvents) {
     this.events = events;
-    this.later = later;
+    this.delayedEvents = delayedEvents;
   }
 
   /**
    * The body of a submission.
    *
-   * @param id chosen by the caller so that it can safely submit again, or null for a minted one
+   * @param id chosen by the caller, so that a submission can safely be repeated; null to have one
+   *     generated
    * @param row a batch row
-   * @param input what the task works on
-   * @param demand what it needs, or null for what its row declares
+   * @param input the task's input
+   * @param demand the resources it needs, or null to use what its row declares
    */
   record Submission(TaskId id, RowName row, JsonNode input, Demand demand) {}
 
@@ -56,11 +57,11 @@
         .on(
             "GET",
             "/v1/tasks/{}",
-            (call, id) -> ask(call, t -> new TaskEvent.StatusAsked(t, id(id))))
+            (call, id) -> post(call, t -> new TaskEvent.StatusAsked(t, id(id))))
         .on(
             "DELETE",
             "/v1/tasks/{}",
-            (call, id) -> ask(call, t -> new TaskEvent.CancelAsked(t, id(id))));
+            (call, id) -> post(call, t -> new TaskEvent.CancelAsked(t, id(id))));
   }
 
   private void submit(HttpCall call) {
@@ -70,7 +71,7 @@
           AdapterException.Code.MALFORMED, "a task needs the fields row and input", null);
     }
     TaskId id = body.id() == null ? new TaskId(UUID.randomUUID().toString()) : body.id();
-    ask(
+    post(
         call,
         ticket ->
             new TaskEvent.SubmitAsked(
@@ -87,14 +88,14 @@
     return new TaskId(text);
   }
 
-  private void ask(HttpCall call, LongFunction<Event> event) {
+  private void post(HttpCall call, LongFunction<Event> event) {
     long ticket = tickets.incrementAndGet();
     pending.put(ticket, call);
     events.accept(event.apply(ticket));
-    later.accept(TICKET_MILLIS, new TaskEvent.TicketExpired(ticket));
+    delayedEvents.accept(TICKET_MILLIS, new TaskEvent.TicketExpired(ticket));
   }
 
-  /** Gives a caller the final answer. */
+  /** Sends the final response to the caller. */
   public void answered(TaskEffect.Answered answer) {
     HttpCall call = pending.remove(answer.ticket());
     if (call == null) {
--- a/daemon/src/main/java/org/cottontack/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/package-info.java
@@ -1,2 +1,2 @@
-/** What callers and operators reach over HTTP. */
+/** HTTP routes for callers and operators. */
 package org.cottontack.daemon.http;
--- a/daemon/src/main/java/org/cottontack/daemon/job/Cancellation.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Cancellation.java
@@ -5,14 +5,15 @@
 import org.cottontack.core.job.JobId;
 import org.cottontack.core.peer.Payload;
 
-/** What the row of a cancellation says of its job when it was written. */
+/** The content of a cancellation's row: whether its job was stored when the row was written. */
 enum Cancellation {
-  /** The job is stored, and the leader ends it. */
+  /** The job was stored; the leader ends it. */
   OF_JOB("1", Intake.Answer.STORED),
 
   /**
-   * There was no job. A submission that the store carries out later is refused beside this row, and
-   * the leader ends a job that another version stores there.
+   * The job was not stored. A submission that the store carries out later conflicts with this row
+   * and is rejected. The leader ends a job that an instance of another version stores without
+   * checking this row.
    */
   BEFORE_SUBMISSION("0", Intake.Answer.ABSENT);
 
@@ -25,32 +26,33 @@
   }
 
   /**
-   * Returns which one fits a job.
+   * Returns the kind of cancellation for a job.
    *
    * @param jobVersion the version of the job's row, 0 without a row
    */
-  static Cancellation fitting(long jobVersion) {
+  static Cancellation forJobVersion(long jobVersion) {
     return jobVersion == 0 ? BEFORE_SUBMISSION : OF_JOB;
   }
 
-  /** Returns which one a row holds. */
+  /** Returns the kind of cancellation that a row contains. */
   static Cancellation parse(Row row) {
     return row.text().equals(BEFORE_SUBMISSION.text) ? BEFORE_SUBMISSION : OF_JOB;
   }
 
-  /** Returns what a caller is told once it is stored. */
+  /** Returns the answer that the caller receives once the row is stored. */
   Intake.Answer answer() {
     return answer;
   }
 
   /**
-   * Returns the transaction that writes it while the job's row is as it was seen. A late copy
-   * writes nothing once that row has come or gone, so no row is left behind that nobody removes.
+   * Returns the transaction that writes the cancellation, on condition that the job's row is
+   * unchanged. A late attempt writes nothing once the job was stored or removed, so it cannot leave
+   * behind a row that is never removed.
    *
    * @param jobVersion the version of the job's row, 0 without a row
    */
-  static Transaction change(JobId id, long jobVersion) {
-    Payload content = Payload.of(fitting(jobVersion).text);
+  static Transaction transaction(JobId id, long jobVersion) {
+    Payload content = Payload.of(forJobVersion(jobVersion).text);
     return new Transaction(
         Map.of(JobTables.job(id), jobVersion), Map.of(JobTables.cancel(id), content), List.of());
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/CommitResult.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/CommitResult.java
@@ -4,43 +4,50 @@
 import java.util.Optional;
 
 /**
- * What became of a transaction.
+ * The result of a transaction.
  *
- * @param outcome how it ended
- * @param version the version of the rows written, when done
- * @param current the expected rows as they are, after a conflict
- * @param storeMillis the store's steady clock when it answered, in milliseconds; 0 when unknown
+ * @param outcome how the transaction ended
+ * @param version the version of the written rows, if it was done
+ * @param current the current state of the expected rows, after a conflict
+ * @param storeMillis the store's monotonic clock at the time of its answer, in milliseconds; 0 when
+ *     unknown
  */
 public record CommitResult(Outcome outcome, long version, List<Row> current, long storeMillis) {
 
-  /** How a transaction ends. */
+  /** The possible outcomes of a transaction. */
   public enum Outcome {
-    /** It is in the store. */
+    /** The transaction is stored. */
     DONE,
-    /** An expected version did not hold; nothing was done. */
+    /** An expected version did not match; nothing was written. */
     CONFLICT,
-    /** The store did nothing, and says so. */
+    /** The transaction was refused; nothing was written. */
     REFUSED,
-    /** No answer came: it may have happened, or may happen seconds later. */
+    /**
+     * There was no answer: the transaction may have been carried out, or may still be carried out
+     * seconds later.
+     */
     UNKNOWN
   }
 
-  /** Keeps the list immutable. */
+  /** Copies the list so that the result is immutable. */
   public CommitResult {
     current = List.copyOf(current);
   }
 
-  /** Returns whether the store took the transaction up; a refusal may come from nearer by. */
+  /**
+   * Returns whether the store processed the transaction. A refusal does not count, because it may
+   * come from a component in front of the store.
+   */
   public boolean served() {
     return outcome == Outcome.DONE || outcome == Outcome.CONFLICT;
   }
 
-  /** Returns an answer without rows. */
+  /** Returns a result without rows. */
   public static CommitResult of(Outcome outcome) {
     return new CommitResult(outcome, 0, List.of(), 0);
   }
 
-  /** Returns a row as it stood at the time of the conflict. */
+  /** Returns a row as it was at the time of the conflict, if it existed. */
   public Optional<Row> current(RowKey at) {
     return current.stream()
         .filter(row -> row.at().equals(at) && !row.removed() && row.version() > 0)
--- a/daemon/src/main/java/org/cottontack/daemon/job/HangupSignal.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/HangupSignal.java
@@ -5,9 +5,9 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * Handles the signal that says that the settings have changed. Without a handler the virtual
- * machine takes it as an order to end: the platform sees a process that leaves by itself. The
- * handler is bound by reflection because the compiler does not know the virtual machine's signal
+ * Handles the signal that announces changed settings. Without a handler, the virtual machine treats
+ * the signal as a request to exit, and the platform sees a process that ends by itself. The handler
+ * is installed by reflection because the compiler does not expose the virtual machine's signal
  * class.
  */
 final class HangupSignal {
@@ -17,7 +17,7 @@
 
   private HangupSignal() {}
 
-  /** Runs something at each such signal. */
+  /** Runs an action each time the signal arrives. */
   static void handle(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
@@ -33,7 +33,7 @@
       Object hangup = signal.getConstructor(String.class).newInstance(SIGNAL);
       signal.getMethod("handle", signal, handler).invoke(null, hangup, proxy);
     } catch (ReflectiveOperationException e) {
-      LOG.warn("a changed settings file will end this process: no handler for {}", SIGNAL, e);
+      LOG.warn("no handler for {}: a change of the settings file will end this process", SIGNAL, e);
     }
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
@@ -15,49 +15,59 @@
 import org.cottontack.core.peer.Payload;
 import org.cottontack.wire.JobCodec;
 
-/** Takes jobs in, cancels them and tells their state, on any instance, through the store alone. */
+/**
+ * Accepts and cancels jobs and reports their state. Uses only the store, so any instance can serve
+ * any job.
+ */
 public final class Intake {
 
   private static final Logger LOG = LogManager.getLogger(Intake.class);
 
   /**
-   * When a caller that was refused should come back, in seconds: usual outages last some seconds,
-   * and the store is asked a few times before a caller is refused.
+   * Delay after which a rejected caller should retry, in seconds. Usual outages last a few seconds,
+   * and the store has been tried several times before a caller is rejected.
    */
   public static final long COME_BACK_SECONDS = 1;
 
-  /** How long a caller waits that does not say, in milliseconds. */
-  private static final long USUAL_PATIENCE_MILLIS = 3_000;
+  /** Timeout of a caller that specifies none, in milliseconds. */
+  private static final long DEFAULT_TIMEOUT_MILLIS = 3_000;
 
-  /** Time kept back for the way of the answer to the caller, in milliseconds. */
-  private static final long ANSWER_MILLIS = 150;
+  /** Time reserved for sending the response to the caller, in milliseconds. */
+  private static final long RESPONSE_MARGIN_MILLIS = 150;
 
-  /** Time between two looks at a call that has no answer, in milliseconds. */
-  private static final long LOOK_MILLIS = 100;
+  /** Interval between checks of an unanswered transaction, in milliseconds. */
+  private static final long CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * Time after which a call without an answer makes us ask whether the store answers at all, in
-   * milliseconds: a read takes as long at a store that is 60 times slower than usual.
+   * Time after which an unanswered transaction triggers a probe of the store, in milliseconds. A
+   * read takes this long when the store is 60 times slower than usual.
    */
-  private static final long PROBE_MILLIS = 250;
+  private static final long PROBE_AFTER_MILLIS = 250;
 
-  /** Pause before a call that was refused or broken off is made again, in milliseconds. */
-  private static final long PAUSE_MILLIS = 60;
+  /**
+   * Delay before a transaction that was refused or whose answer is unknown is sent again, in
+   * milliseconds.
+   */
+  private static final long RETRY_DELAY_MILLIS = 60;
 
-  /** Tries of a call that the store refuses each time before the caller is told so. */
-  private static final int REFUSED_TRIES = 3;
+  /**
+   * Number of refusals by the store after which the caller is rejected, if no attempt is in doubt.
+   */
+  private static final int MAX_REFUSALS = 3;
 
-  /** How a submission or cancellation ends. */
+  /** The result of a submission or cancellation. */
   public enum Answer {
-    /** It is stored. */
+    /** The submission or cancellation is stored. */
     STORED,
-    /** It is certainly not stored and never will be. */
+    /** It is not stored and will not be stored later. */
     REJECTED,
-    /** It may be stored. */
+    /** It may be stored now or later. */
     UNKNOWN,
-    /** There is no such job, and a submission of it that comes late is refused. */
+    /** No such job exists, and a submission of it that arrives later is rejected. */
     ABSENT,
-    /** Its job was cancelled before it came: it is certainly not stored and never will be. */
+    /**
+     * The job was cancelled before its submission: it is not stored and will not be stored later.
+     */
     CANCELLED
   }
 
@@ -65,7 +75,7 @@
   private final Timers timers;
   private final JobMetrics metrics;
 
-  /** Uses a store. */
+  /** Creates an intake on a store. */
   Intake(WatchedStore store, Timers timers, JobMetrics metrics) {
     this.store = store;
     this.timers = timers;
@@ -73,15 +83,15 @@
   }
 
   /**
-   * Stores a job unless it is already there, or was cancelled before it came.
+   * Stores a job unless it is already stored or was cancelled before its submission.
    *
    * @param job the job
-   * @param patienceMillis how long the caller waits, if it said
-   * @param done gets the answer
+   * @param timeoutMillis how long the caller waits, if specified
+   * @param done receives the answer
    */
-  public void submit(JobSpec job, OptionalLong patienceMillis, Consumer<Answer> done) {
+  public void submit(JobSpec job, OptionalLong timeoutMillis, Consumer<Answer> done) {
     RowKey row = JobTables.job(job.id());
-    Transaction change =
+    Transaction transaction =
         new Transaction(
             Map.of(row, 0L, JobTables.cancel(job.id()), 0L),
             Map.of(
@@ -90,18 +100,24 @@
                 JobTables.waiting(job.id()),
                 Payload.of(job.queue().name())),
             List.of());
-    Consumer<Answer> logged = logged("job.submitted", job.id(), done);
-    long untilMillis = untilMillis(patienceMillis);
-    ifReached(
+    Consumer<Answer> logged = withLogging("job.submitted", job.id(), done);
+    long deadlineMillis = deadlineMillis(timeoutMillis);
+    ifStoreAvailable(
         () ->
             new Attempt(
-                    change, untilMillis, answer -> logged.accept(taken(job.id(), answer)), logged)
+                    transaction,
+                    deadlineMillis,
+                    answer -> logged.accept(submissionAnswer(job.id(), answer)),
+                    logged)
                 .start(),
         () -> logged.accept(Answer.REJECTED));
   }
 
-  /** A conflict beside the job's row says that an earlier copy of this submission wrote it. */
-  private static Answer taken(JobId id, CommitResult answer) {
+  /**
+   * Returns the answer to a submission. A conflict in which the job's row exists means that another
+   * attempt of this submission wrote the row.
+   */
+  private static Answer submissionAnswer(JobId id, CommitResult answer) {
     if (answer.outcome() == CommitResult.Outcome.DONE
         || answer.current(JobTables.job(id)).isPresent()) {
       return Answer.STORED;
@@ -110,31 +126,35 @@
   }
 
   /**
-   * Turns a caller away at once while the store serves nothing here. Held until its time was up, it
-   * had none left for another instance; nothing has been sent, so "not stored" is true.
+   * Runs a call, or rejects it at once while the store is unavailable to this instance. A caller
+   * that waited until its timeout would have no time left to try another instance. Nothing has been
+   * sent to the store yet, so the answer "not stored" is correct.
    */
-  private void ifReached(Runnable call, Runnable refusal) {
-    (store.away() ? refusal : call).run();
+  private void ifStoreAvailable(Runnable call, Runnable refusal) {
+    (store.unavailable() ? refusal : call).run();
   }
 
-  private long untilMillis(OptionalLong patienceMillis) {
-    return timers.now().mono() + patienceMillis.orElse(USUAL_PATIENCE_MILLIS) - ANSWER_MILLIS;
+  private long deadlineMillis(OptionalLong timeoutMillis) {
+    return timers.now().mono()
+        + timeoutMillis.orElse(DEFAULT_TIMEOUT_MILLIS)
+        - RESPONSE_MARGIN_MILLIS;
   }
 
   /**
-   * Cancels a job. Where there is none, one that is submitted under this identifier is refused for
-   * as long as the state of a job that ended stays readable: a submission without an answer may be
-   * carried out seconds after its cancellation.
+   * Cancels a job. If there is no such job, a submission under this identifier is rejected for as
+   * long as the state of an ended job stays readable. This is needed because an unanswered
+   * submission may be carried out seconds after its cancellation.
    *
-   * @param patienceMillis how long the caller waits, if it said
+   * @param timeoutMillis how long the caller waits, if specified
    */
-  public void cancel(JobId id, OptionalLong patienceMillis, Consumer<Answer> done) {
-    long untilMillis = untilMillis(patienceMillis);
-    Consumer<Answer> logged = logged("job.cancelled", id, done);
-    ifReached(() -> cancel(id, untilMillis, logged), () -> logged.accept(Answer.REJECTED));
+  public void cancel(JobId id, OptionalLong timeoutMillis, Consumer<Answer> done) {
+    long deadlineMillis = deadlineMillis(timeoutMillis);
+    Consumer<Answer> logged = withLogging("job.cancelled", id, done);
+    ifStoreAvailable(
+        () -> cancel(id, deadlineMillis, logged), () -> logged.accept(Answer.REJECTED));
   }
 
-  private void cancel(JobId id, long untilMillis, Consumer<Answer> done) {
+  private void cancel(JobId id, long deadlineMillis, Consumer<Answer> done) {
     store.scan(
         JobTables.JOBS,
         JobTables.job(id).part(),
@@ -145,7 +165,7 @@
           } else {
             Optional<Row> job =
                 scan.rows().stream().filter(row -> row.key().equals(id.value())).findFirst();
-            cancelAt(id, versionOf(job), untilMillis, done);
+            cancelAtVersion(id, versionOf(job), deadlineMillis, done);
           }
         });
   }
@@ -154,30 +174,30 @@
     return row.map(Row::version).orElse(0L);
   }
 
-  private void cancelAt(JobId id, long jobVersion, long untilMillis, Consumer<Answer> done) {
-    Consumer<CommitResult> settled =
+  private void cancelAtVersion(
+      JobId id, long jobVersion, long deadlineMillis, Consumer<Answer> done) {
+    Consumer<CommitResult> onResolved =
         answer -> {
           long version = versionOf(answer.current(JobTables.job(id)));
           if (answer.outcome() == CommitResult.Outcome.DONE) {
-            done.accept(Cancellation.fitting(jobVersion).answer());
+            done.accept(Cancellation.forJobVersion(jobVersion).answer());
           } else if (version == jobVersion) {
             done.accept(Answer.UNKNOWN);
           } else {
-            // The job has come or gone since it was looked for.
-            cancelAt(id, version, untilMillis, done);
+            // The job was stored or removed since the previous attempt.
+            cancelAtVersion(id, version, deadlineMillis, done);
           }
         };
-    new Attempt(Cancellation.change(id, jobVersion), untilMillis, settled, done).start();
+    new Attempt(Cancellation.transaction(id, jobVersion), deadlineMillis, onResolved, done).start();
   }
 
   /**
-   * Tells a job's state.
+   * Reads a job's state.
    *
-   * @param done gets the phase, {@code null} when the store gives no answer, or nothing when there
-   *     is no such job
+   * @param done receives the state; it has no phase when there is no such job
    */
   public void state(JobId id, Consumer<State> done) {
-    ifReached(() -> read(id, done), () -> done.accept(new State(false, Optional.empty())));
+    ifStoreAvailable(() -> read(id, done), () -> done.accept(new State(false, Optional.empty())));
   }
 
   private void read(JobId id, Consumer<State> done) {
@@ -189,7 +209,7 @@
           if (!scan.answered()) {
             done.accept(new State(false, Optional.empty()));
           } else if (scan.rows().isEmpty()) {
-            notStarted(id, done);
+            readUnstarted(id, done);
           } else {
             done.accept(stateOf(id, scan.rows().get(0).text()));
           }
@@ -200,12 +220,12 @@
     try {
       return new State(true, Optional.of(ProgressText.phase(progress)));
     } catch (IllegalArgumentException e) {
-      LOG.error("the progress of {} cannot be read", id, e);
+      LOG.error("cannot read the progress of job {}", id, e);
       return new State(false, Optional.empty());
     }
   }
 
-  private void notStarted(JobId id, Consumer<State> done) {
+  private void readUnstarted(JobId id, Consumer<State> done) {
     store.scan(
         JobTables.JOBS,
         JobTables.job(id).part(),
@@ -218,16 +238,19 @@
   }
 
   /**
-   * A job's state as the store tells it.
+   * A job's state as read from the store.
    *
-   * @param known false when the store gave no answer, or one that cannot be read
-   * @param phase the phase, or nothing when there is no such job
+   * @param known false when the store did not answer or its answer is unreadable
+   * @param phase the phase, or empty when there is no such job
    */
   public record State(boolean known, Optional<JobPhase> phase) {}
 
-  /** Counts the jobs of a queue that wait for their first start; nothing when the store is away. */
+  /**
+   * Counts the jobs of a queue that wait for their first start; the result is empty when the store
+   * is unavailable.
+   */
   public void waiting(String queue, Consumer<OptionalLong> done) {
-    ifReached(
+    ifStoreAvailable(
         () -> count(queue, JobTables.intakeParts(), 0, done),
         () -> done.accept(OptionalLong.empty()));
   }
@@ -251,131 +274,136 @@
         });
   }
 
-  private Consumer<Answer> logged(String event, JobId id, Consumer<Answer> done) {
-    long began = timers.now().mono();
+  private Consumer<Answer> withLogging(String event, JobId id, Consumer<Answer> done) {
+    long startMillis = timers.now().mono();
     return answer -> {
-      long took = timers.now().mono() - began;
-      metrics.answered(event, answer, took);
+      long elapsedMillis = timers.now().mono() - startMillis;
+      metrics.answered(event, answer, elapsedMillis);
       LOG.info(
           new StringMapMessage()
               .with("event", event)
               .with("job", id)
               .with("answer", answer)
-              .with("millis", took));
+              .with("millis", elapsedMillis));
       done.accept(answer);
     };
   }
 
   /**
-   * One transaction, sent until it has a certain answer, the caller has gone, or the store is away.
-   * A copy that is late is waited for beside the next one: at a store that is slow each copy takes
-   * its turn in the partition's queue, so copies sent early hold up those of other callers.
+   * One transaction, sent until it has a definite result, the caller's timeout has passed, or the
+   * store is unavailable. A late attempt is not abandoned when the next one is sent; its answer
+   * still counts. In a slow store, each attempt takes its turn in the partition's queue, so
+   * attempts that are sent too early delay the transactions of other callers.
    */
   private final class Attempt {
 
-    private final Transaction change;
-    private final long untilMillis;
-    private final Consumer<CommitResult> settled;
+    private final Transaction transaction;
+    private final long deadlineMillis;
+    private final Consumer<CommitResult> onResolved;
     private final Consumer<Answer> done;
-    private final long beganMillis = timers.now().mono();
-    private long sentMillis;
-    private int copies;
+    private final long startMillis = timers.now().mono();
+    private long lastSentMillis;
+    private int sendCount;
     private int refusals;
-    private int open;
-    private boolean uncertain;
+    private int inFlight;
+    private boolean inDoubt;
     private boolean probed;
-    private boolean ended;
+    private boolean finished;
 
     /**
-     * Creates one that does nothing yet.
+     * Creates an attempt; nothing is sent before {@link #start}.
      *
-     * @param untilMillis when the caller has gone, on our steady clock
-     * @param settled gets the certain answer: done, or a conflict
-     * @param done gets the answer when there is no certain one
+     * @param deadlineMillis when the caller stops waiting, on this process's monotonic clock
+     * @param onResolved receives a definite result: done, or a conflict
+     * @param done receives the answer when there is no definite result
      */
     Attempt(
-        Transaction change,
-        long untilMillis,
-        Consumer<CommitResult> settled,
+        Transaction transaction,
+        long deadlineMillis,
+        Consumer<CommitResult> onResolved,
         Consumer<Answer> done) {
-      this.change = change;
-      this.untilMillis = untilMillis;
-      this.settled = settled;
+      this.transaction = transaction;
+      this.deadlineMillis = deadlineMillis;
+      this.onResolved = onResolved;
       this.done = done;
     }
 
     void start() {
       send();
-      look();
+      checkProgress();
     }
 
     private void send() {
-      long left = untilMillis - timers.now().mono();
-      if (ended || left <= 0) {
+      long remainingMillis = deadlineMillis - timers.now().mono();
+      if (finished || remainingMillis <= 0) {
         return;
       }
-      sentMillis = timers.now().mono();
-      copies++;
-      open++;
-      store.commit(change, left, this::answered);
+      lastSentMillis = timers.now().mono();
+      sendCount++;
+      inFlight++;
+      store.commit(transaction, remainingMillis, this::handleResult);
     }
 
-    private void look() {
-      if (ended) {
+    private void checkProgress() {
+      if (finished) {
         return;
       }
       long now = timers.now().mono();
-      if (now >= untilMillis || store.away()) {
-        giveUp();
+      if (now >= deadlineMillis || store.unavailable()) {
+        abandon();
         return;
       }
-      if (!probed && now - beganMillis >= PROBE_MILLIS && !store.heardSince(beganMillis)) {
+      if (!probed && now - startMillis >= PROBE_AFTER_MILLIS && !store.answeredSince(startMillis)) {
         probed = true;
         store.probe();
       }
-      if (store.heardSince(beganMillis) && now - sentMillis >= copies * store.patienceMillis()) {
+      if (store.answeredSince(startMillis)
+          && now - lastSentMillis >= sendCount * store.patienceMillis()) {
         send();
       }
-      timers.after(LOOK_MILLIS, this::look);
+      timers.after(CHECK_INTERVAL_MILLIS, this::checkProgress);
     }
 
-    private void answered(CommitResult answer) {
-      open--;
+    private void handleResult(CommitResult answer) {
+      inFlight--;
       switch (answer.outcome()) {
-        case DONE, CONFLICT -> end(() -> settled.accept(answer));
+        case DONE, CONFLICT -> finish(() -> onResolved.accept(answer));
         case UNKNOWN -> {
-          uncertain = true;
-          sendSoon();
+          inDoubt = true;
+          scheduleResend();
         }
         case REFUSED -> {
           refusals++;
-          sendSoon();
+          scheduleResend();
         }
         default -> throw new IllegalStateException("no such outcome: " + answer.outcome());
       }
     }
 
-    /** Sends again what has neither been answered nor is under way. */
-    private void sendSoon() {
-      if (open > 0) {
+    /**
+     * Schedules another attempt if none is in flight, or rejects the caller after too many
+     * refusals.
+     */
+    private void scheduleResend() {
+      if (inFlight > 0) {
         return;
       }
-      if (!uncertain && refusals >= REFUSED_TRIES) {
-        end(() -> done.accept(Answer.REJECTED));
+      if (!inDoubt && refusals >= MAX_REFUSALS) {
+        finish(() -> done.accept(Answer.REJECTED));
       } else {
-        timers.after(PAUSE_MILLIS, this::send);
+        timers.after(RETRY_DELAY_MILLIS, this::send);
       }
     }
 
-    private void giveUp() {
-      Answer answer = uncertain || open > 0 ? Answer.UNKNOWN : Answer.REJECTED;
-      end(() -> done.accept(answer));
+    private void abandon() {
+      Answer answer = inDoubt || inFlight > 0 ? Answer.UNKNOWN : Answer.REJECTED;
+      finish(() -> done.accept(answer));
     }
 
-    private void end(Runnable tell) {
-      if (!ended) {
-        ended = true;
-        tell.run();
+    private void finish(Runnable callback) {
+      if (!finished) {
+        finished = true;
+        callback.run();
       }
     }
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobEntry.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobEntry.java
@@ -9,18 +9,19 @@
 import org.cottontack.core.job.JobTable;
 
 /**
- * An entry instance for jobs. All instances are equal: each takes jobs in, one of them leads. It
- * keeps nothing of its own; what lasts is in the platform's store. Confined to the event loop.
+ * An entry instance for jobs. All instances are equal: each accepts jobs, and one of them is the
+ * leader. An instance has no persistent state of its own; all of it is in the platform's store.
+ * Confined to the event loop.
  */
 public final class JobEntry {
 
   private static final Logger LOG = LogManager.getLogger(JobEntry.class);
 
   /**
-   * How long ago the rules may have been told last for this instance to take callers, in
-   * milliseconds: over two unanswered waits of 1 s for news.
+   * Longest time since the last contact with the rule source while this instance accepts new
+   * callers, in milliseconds. It is longer than two unanswered requests for changes of 1 s each.
    */
-  private static final long RULES_AGE_MILLIS = 2_500;
+  private static final long MAX_RULES_AGE_MILLIS = 2_500;
 
   private final Timers timers;
   private final RuleSource rules;
@@ -37,15 +38,15 @@
   private boolean stopping;
 
   /**
-   * Creates an instance that does nothing yet.
+   * Creates an instance; nothing happens before {@link #start}.
    *
    * @param instance this instance
-   * @param keepMillis how long the state of a job that ended stays readable
+   * @param keepMillis how long the state of an ended job stays readable
    * @param store the platform's store
    * @param timers the event loop's timers
-   * @param rules where the table comes from
+   * @param rules the source of the table
    * @param registry the list of workers
-   * @param workers orders to workers
+   * @param workers sends orders to workers
    */
   public JobEntry(
       Instance instance,
@@ -63,17 +64,17 @@
     this.workers = workers;
     this.intake = new Intake(store, timers, metrics);
     String self = instance.name() + "/" + UUID.randomUUID();
-    this.leadership = new Leadership(store, timers, instance, self, new Terms());
+    this.leadership = new Leadership(store, timers, instance, self, new TermListener());
   }
 
-  /** Begins to follow the table and, once there is one, to stand for election. */
+  /** Starts watching the table and joins the election as soon as there is a table. */
   public void start() {
     rules.start(this::apply, this::evacuate);
   }
 
   private void apply(JobTable next) {
     final boolean first = table.version() < 0;
-    // An older table after a newer one would undo an accepted edit.
+    // Applying an older table after a newer one would undo an accepted edit.
     if (next.version() <= table.version()) {
       return;
     }
@@ -98,7 +99,7 @@
     }
   }
 
-  private final class Terms implements Leadership.Listener {
+  private final class TermListener implements Leadership.Listener {
 
     @Override
     public void won(long epoch) {
@@ -129,38 +130,38 @@
     }
   }
 
-  /** Returns the rules in force here. */
+  /** Returns the table in force on this instance. */
   public JobTable table() {
     return table;
   }
 
-  /** Returns what takes jobs in. */
+  /** Returns the intake, which accepts and cancels jobs. */
   public Intake intake() {
     return intake;
   }
 
-  /** Returns the epoch of the term this instance leads, or 0 when it does not. */
+  /** Returns the epoch of the term in which this instance is the leader, or 0 when it is not. */
   long leadingEpoch() {
     return leader == null ? 0 : leader.epoch();
   }
 
-  /** Returns counters and histograms. */
+  /** Returns the metrics of this instance. */
   public JobMetrics metrics() {
     return metrics;
   }
 
-  /** Returns whether this instance should get new callers. */
+  /** Returns whether new callers should be routed to this instance. */
   public boolean ready() {
-    boolean rulesAreNew = timers.now().mono() - rules.lastContactMillis() < RULES_AGE_MILLIS;
-    return !stopping && table.version() >= 0 && rulesAreNew && !store.away();
+    boolean rulesAreFresh = timers.now().mono() - rules.lastContactMillis() < MAX_RULES_AGE_MILLIS;
+    return !stopping && table.version() >= 0 && rulesAreFresh && !store.unavailable();
   }
 
-  /** Returns whether this instance is about to stop. */
+  /** Returns whether a graceful stop has begun. */
   public boolean stopping() {
     return stopping;
   }
 
-  /** Stops gracefully: takes no new callers and hands leadership back. */
+  /** Stops gracefully: accepts no new callers and releases leadership. */
   public void stop(Runnable done) {
     stopping = true;
     LOG.info(new StringMapMessage().with("event", "instance.stopping"));
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobMetrics.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobMetrics.java
@@ -14,20 +14,20 @@
 
   private final MetricRegistry registry = new MetricRegistry();
 
-  /** Registers what an instance always shows. */
+  /** Registers the gauges of an instance. */
   JobMetrics(JobEntry entry) {
     registry.gauge("table.version", () -> () -> entry.table().version());
     registry.gauge("instance.ready", () -> () -> entry.ready() ? 1 : 0);
     registry.gauge("leader.epoch", () -> entry::leadingEpoch);
   }
 
-  /** Counts an answer to a caller and the time it took. */
+  /** Counts an answer to a caller and records its latency. */
   void answered(String call, Intake.Answer answer, long millis) {
     String name = call + "." + answer.name().toLowerCase(Locale.ROOT);
     timer(name).update(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Counts an event of the leader, and starts by their result. */
+  /** Counts an event that the leader handled; start results are also counted by result. */
   void event(JobEvent event) {
     if (event instanceof JobEvent.StartEnded start) {
       count("starts." + start.result().name());
@@ -35,7 +35,10 @@
     count("events." + event.getClass().getSimpleName());
   }
 
-  /** Counts an effect of the leader, and log lines by their event: those are few and fixed. */
+  /**
+   * Counts an effect of the leader; log events are also counted by name, because there are few
+   * distinct names.
+   */
   void effect(JobEffect effect) {
     if (effect instanceof JobEffect.Note note) {
       count("events." + note.name());
@@ -43,17 +46,17 @@
     count("effects." + effect.getClass().getSimpleName());
   }
 
-  /** Records the time a decision took. */
+  /** Records how long a scheduling decision took. */
   void decided(long nanos) {
     timer("leader.decision").update(nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Records how old the news of cancellations was with which a start left. */
-  void started(long newsMillis) {
-    timer("leader.newsAge").update(newsMillis, TimeUnit.MILLISECONDS);
+  /** Records the age of the cancellation data when a start order was sent. */
+  void started(long ageMillis) {
+    timer("leader.newsAge").update(ageMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Records the time until a save of progress was answered. */
+  /** Records how long a save of progress took until it was answered. */
   void saved(long millis) {
     timer("leader.save").update(millis, TimeUnit.MILLISECONDS);
   }
@@ -66,7 +69,7 @@
     registry.counter(name.toLowerCase(Locale.ROOT)).inc();
   }
 
-  /** Returns all metrics as text, one sample a line. */
+  /** Returns all metrics as text, one sample per line. */
   public String text() {
     return MetricsText.of(registry);
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobProcess.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobProcess.java
@@ -17,21 +17,26 @@
 import org.cottontack.daemon.settings.JobSettings;
 import org.cottontack.daemon.settings.SettingsException;
 
-/** Runs an entry instance for jobs as a process: start, changed settings, graceful stop. */
+/**
+ * Runs an entry instance for jobs as a process: start, check of changed settings, graceful stop.
+ */
 public final class JobProcess {
 
   private static final Logger LOG = LogManager.getLogger(JobProcess.class);
   private static final int BAD_SETTINGS = 3;
   private static final int CANNOT_START = 4;
 
-  /** Time kept back before the platform kills the process, in milliseconds. */
+  /**
+   * Margin between the end of a graceful stop and the time when the platform kills the process, in
+   * milliseconds.
+   */
   private static final long EXIT_MARGIN_MILLIS = 800;
 
   /**
-   * How long new connections may still come after the order to stop, in milliseconds: the platform
-   * asks for readiness once a second and turns away after two refusals.
+   * How long new connections may still arrive after the stop order, in milliseconds. The platform
+   * checks readiness once a second and stops routing after two failed checks.
    */
-  private static final long ROUTED_MILLIS = 2_500;
+  private static final long NEW_CONNECTIONS_MILLIS = 2_500;
 
   private static final long POLL_MILLIS = 20;
   private static final int OK = 200;
@@ -65,11 +70,11 @@
   }
 
   /**
-   * Runs until the platform stops the process. Exit codes: 0 stopped on order, 3 bad settings, 4
-   * cannot start.
+   * Runs until the platform stops the process. Exit codes: 0 stopped on request, 3 invalid
+   * settings, 4 cannot start.
    *
-   * @param file the file of settings
-   * @param adapter translates between the platform and this instance
+   * @param file the settings file
+   * @param adapter translates between the platform's interfaces and this instance
    */
   public static void run(Path file, PlatformAdapter adapter) {
     try {
@@ -89,7 +94,7 @@
 
   private void start() {
     timers.soon(entry::start);
-    HangupSignal.handle(this::reloaded);
+    HangupSignal.handle(this::checkReloadedSettings);
     LOG.info("started {}", settings.name());
     Runtime.getRuntime().addShutdownHook(new Thread(this::stop, "stop"));
   }
@@ -103,30 +108,33 @@
     call.respond(OK, Map.of("content-type", "text/plain; charset=utf-8"), text);
   }
 
-  /** Checks a changed file; all settings here hold for a process's life, so none is applied. */
-  private void reloaded() {
+  /**
+   * Checks the changed settings file. No change is applied, because these settings are fixed for
+   * the lifetime of the process.
+   */
+  private void checkReloadedSettings() {
     try {
-      LOG.info("settings read again: {}", JobSettings.load(file));
+      LOG.info("settings file changed: {}", JobSettings.load(file));
     } catch (SettingsException e) {
-      LOG.error("the changed settings are wrong and would keep the next start from working", e);
+      LOG.error("the changed settings are invalid; the next start would fail", e);
     }
   }
 
   /**
-   * Hands leadership back, ends each caller's connection with its next answer, and leaves once the
-   * platform sends no new ones and nothing is unanswered, at the latest before the end of the
-   * grace.
+   * Stops the process: releases leadership, closes each caller's connection with its next response,
+   * and exits once the platform routes no new connections here and no call is unanswered, but no
+   * later than the end of the grace period.
    */
   private void stop() {
-    long began = timers.now().mono();
-    long latest = began + settings.graceMillis() - EXIT_MARGIN_MILLIS;
-    CountDownLatch left = new CountDownLatch(1);
-    timers.soon(() -> entry.stop(left::countDown));
+    long startMillis = timers.now().mono();
+    long deadlineMillis = startMillis + settings.graceMillis() - EXIT_MARGIN_MILLIS;
+    CountDownLatch leadershipReleased = new CountDownLatch(1);
+    timers.soon(() -> entry.stop(leadershipReleased::countDown));
     callers.drain();
     try {
-      left.await(settings.graceMillis() - EXIT_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
-      while (timers.now().mono() < began + ROUTED_MILLIS
-          || (callers.unanswered() > 0 && timers.now().mono() < latest)) {
+      leadershipReleased.await(settings.graceMillis() - EXIT_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+      while (timers.now().mono() < startMillis + NEW_CONNECTIONS_MILLIS
+          || (callers.unanswered() > 0 && timers.now().mono() < deadlineMillis)) {
         TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
       }
     } catch (InterruptedException e) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/JobTables.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/JobTables.java
@@ -4,49 +4,56 @@
 import java.util.stream.IntStream;
 import org.cottontack.core.job.JobId;
 
-/** Where the product keeps what must last, in the platform's store. */
+/** The tables, partitions and row keys of persistent data in the platform's store. */
 final class JobTables {
 
-  /** Accepted jobs, written once by whichever instance accepts them. */
+  /** Accepted jobs, written once by the instance that accepts them. */
   static final String JOBS = "jobs";
 
-  /** Cancellations, written by whichever instance takes them. */
+  /** Cancellations, written by the instance that accepts them. */
   static final String CANCELS = "cancels";
 
-  /** Jobs no task of which has started: written with the job, removed by the leader. */
+  /** Jobs without a started task: written together with the job, removed by the leader. */
   static final String WAITING = "waiting";
 
-  /** The one partition of rows about leading. */
+  /** The single partition of the leader table. */
   static final String LEADER_PART = "leader";
 
   /** Progress of jobs, written by the leader. */
   static final String PROGRESS = "progress";
 
-  /** Who leads. */
+  /** Election, lease and handover of leadership. */
   static final String LEADER = "leader";
 
-  /** The one partition of progress rows. */
+  /** The single partition of the progress table. */
   static final String PROGRESS_PART = "progress";
 
-  /** The row that each write of progress must find unchanged; no job's identifier looks like it. */
+  /**
+   * The fence row: each write of progress requires it to be unchanged. Its key cannot be a job's
+   * identifier.
+   */
   static final RowKey FENCE = new RowKey(PROGRESS, PROGRESS_PART, "!fence");
 
-  /** What leaders have learned of images and queues; written with progress. */
+  /** Data learned by leaders about images and queues, written together with progress. */
   static final RowKey LEARNED = new RowKey(PROGRESS, PROGRESS_PART, "!learned");
 
-  /** Partitions of accepted jobs: enough for a burst of accepts while the store is slow. */
+  /**
+   * Number of partitions of accepted jobs: enough for a burst of submissions while the store is
+   * slow.
+   */
   static final int INTAKE_PARTS = 4;
 
   private JobTables() {}
 
-  /** Returns the partitions of accepted jobs and cancellations. */
+  /** Returns the partitions of accepted jobs, cancellations and waiting rows. */
   static List<String> intakeParts() {
     return IntStream.range(0, INTAKE_PARTS).mapToObj(number -> "intake-" + number).toList();
   }
 
   /**
-   * Returns where a job's row lies. It follows from the identifier alone: two instances that get
-   * the same submission at once write the same row, and only one of the writes finds it absent.
+   * Returns the key of a job's row. The key depends on the identifier alone. If two instances
+   * receive the same submission at the same time, they write the same row, and only one write finds
+   * the row absent.
    */
   static RowKey job(JobId id) {
     return new RowKey(JOBS, part(id), id.value());
--- a/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
@@ -16,41 +16,50 @@
 import org.cottontack.core.job.JobId;
 
 /**
- * Removes the rows of jobs that ended long ago, and of cancellations that came long ago without a
- * job. A new leader reads all rows before it starts work; without removal each takeover would take
- * longer than the one before. Confined to the event loop.
+ * Removes rows of jobs that ended, and of cancellations without a job, after their retention time.
+ * A new leader reads all rows before it starts work, so without removal each takeover would take
+ * longer than the previous one. Confined to the event loop.
  */
 final class Retention {
 
   private static final Logger LOG = LogManager.getLogger(Retention.class);
 
-  /** Time between two passes, in milliseconds: at 28 jobs a second eight calls each. */
-  private static final long PASS_MILLIS = 5_000;
+  /**
+   * Interval between removal passes, in milliseconds. At 28 jobs per second, a pass makes eight
+   * calls.
+   */
+  private static final long PASS_INTERVAL_MILLIS = 5_000;
 
-  /** Jobs, or cancellations, in one transaction: two entries each, of which the store takes 100. */
-  private static final int BATCH = 50;
+  /**
+   * Jobs or cancellations per transaction. Each takes two entries, and the store accepts 100
+   * entries.
+   */
+  private static final int BATCH_SIZE = 50;
 
-  /** Longest wait for one answer, in milliseconds: covers a store that is 60 times slower. */
-  private static final long ANSWER_MILLIS = 2_400;
+  /**
+   * Timeout of a transaction, in milliseconds. It is long enough for a store that is 60 times
+   * slower than usual.
+   */
+  private static final long COMMIT_TIMEOUT_MILLIS = 2_400;
 
-  private static final long LONG_AGO_MILLIS = Long.MIN_VALUE / 2;
+  private static final long ALREADY_DUE_MILLIS = Long.MIN_VALUE / 2;
 
-  private record Ended(JobId id, long sinceMillis) {}
+  private record EndedJob(JobId id, long sinceMillis) {}
 
-  private record Orphan(Row row, long sinceMillis) {}
+  private record UnmatchedCancellation(Row row, long sinceMillis) {}
 
   private final TableStore store;
   private final Timers timers;
   private final long keepMillis;
-  private final Deque<Ended> ended = new ArrayDeque<>();
-  private final Map<RowKey, Orphan> orphans = new HashMap<>();
-  private final Map<RowKey, Row> leaving = new HashMap<>();
+  private final Deque<EndedJob> ended = new ArrayDeque<>();
+  private final Map<RowKey, UnmatchedCancellation> unmatchedCancellations = new HashMap<>();
+  private final Map<RowKey, Row> rowsToRemove = new HashMap<>();
   private boolean stopped;
 
   /**
-   * Creates one that does nothing yet.
+   * Creates an instance that does nothing before {@link #start}.
    *
-   * @param keepMillis how long a job's state can be read after its end was stored; a new leader
+   * @param keepMillis how long a job's state stays readable after its end was stored; a new leader
    *     counts from the start of its term
    */
   Retention(TableStore store, Timers timers, long keepMillis) {
@@ -59,64 +68,64 @@
     this.keepMillis = keepMillis;
   }
 
-  /** Takes in that a job's end is stored and nothing of it runs any more. */
+  /** Called when a job's end is stored and none of its tasks is running. */
   void ended(JobId id) {
-    ended.add(new Ended(id, timers.now().mono()));
+    ended.add(new EndedJob(id, timers.now().mono()));
   }
 
   /**
-   * Takes in a cancellation that came before its job. It stays as long as the state of a job that
-   * ended: by far longer than a submission may be under way.
+   * Records a cancellation that was stored before its job. Its row is kept as long as the state of
+   * an ended job, which is far longer than a submission may be in flight.
    */
   void orphan(Row row) {
-    orphans.put(row.at(), new Orphan(row, timers.now().mono()));
+    unmatchedCancellations.put(row.at(), new UnmatchedCancellation(row, timers.now().mono()));
   }
 
-  /** Takes in that the row of a cancellation was removed. */
+  /** Called when the row of a cancellation was removed. */
   void gone(RowKey at) {
-    orphans.remove(at);
+    unmatchedCancellations.remove(at);
   }
 
   /**
-   * Takes in that a job is stored. The row of a cancellation that came before it then stays until
-   * the job goes.
+   * Called when a job is stored. If a cancellation was stored before the job, the row of the
+   * cancellation is from now on removed together with the job.
    *
-   * @return whether there is one
+   * @return whether there is such a cancellation
    */
   boolean claim(JobId job) {
-    return orphans.remove(JobTables.cancel(job)) != null;
+    return unmatchedCancellations.remove(JobTables.cancel(job)) != null;
   }
 
-  /** Begins to remove rows. */
+  /** Starts periodic removal. */
   void start() {
     if (!stopped) {
-      pass();
-      timers.after(PASS_MILLIS, this::start);
+      removeExpired();
+      timers.after(PASS_INTERVAL_MILLIS, this::start);
     }
   }
 
-  /** Ends; calls under way are carried out. */
+  /** Stops removal; transactions already sent are still carried out. */
   void stop() {
     stopped = true;
   }
 
-  private void pass() {
-    long before = timers.now().mono() - keepMillis;
+  private void removeExpired() {
+    long cutoffMillis = timers.now().mono() - keepMillis;
     List<JobId> jobs = new ArrayList<>();
-    while (!ended.isEmpty() && ended.peek().sinceMillis() <= before) {
+    while (!ended.isEmpty() && ended.peek().sinceMillis() <= cutoffMillis) {
       jobs.add(ended.poll().id());
     }
     batches(jobs, id -> JobTables.job(id).part()).forEach(this::removeJobs);
-    List<Row> over =
-        orphans.values().stream()
-            .filter(one -> one.sinceMillis() <= before)
-            .map(Orphan::row)
+    List<Row> expired =
+        unmatchedCancellations.values().stream()
+            .filter(cancellation -> cancellation.sinceMillis() <= cutoffMillis)
+            .map(UnmatchedCancellation::row)
             .toList();
-    over.forEach(row -> orphans.remove(row.at()));
-    over.forEach(row -> leaving.put(row.at(), row));
-    List<Row> rows = List.copyOf(leaving.values());
-    leaving.clear();
-    batches(rows, row -> row.at().part()).forEach(this::removeOrphans);
+    expired.forEach(row -> unmatchedCancellations.remove(row.at()));
+    expired.forEach(row -> rowsToRemove.put(row.at(), row));
+    List<Row> rows = List.copyOf(rowsToRemove.values());
+    rowsToRemove.clear();
+    batches(rows, row -> row.at().part()).forEach(this::removeCancellations);
   }
 
   private static <T> List<List<T>> batches(List<T> all, Function<T, String> part) {
@@ -126,38 +135,41 @@
   }
 
   private static <T> Stream<List<T>> inBatches(List<T> all) {
-    return IntStream.iterate(0, from -> from < all.size(), from -> from + BATCH)
-        .mapToObj(from -> all.subList(from, Math.min(all.size(), from + BATCH)));
+    return IntStream.iterate(0, from -> from < all.size(), from -> from + BATCH_SIZE)
+        .mapToObj(from -> all.subList(from, Math.min(all.size(), from + BATCH_SIZE)));
   }
 
   /**
-   * Removes cancellations that are as they were. A late copy must not remove one of a job that was
-   * submitted and cancelled since.
+   * Removes the rows of cancellations, on condition that their versions are unchanged. Otherwise a
+   * late transaction could remove the cancellation of a job that was submitted and cancelled in the
+   * meantime.
    */
-  private void removeOrphans(List<Row> rows) {
+  private void removeCancellations(List<Row> rows) {
     Map<RowKey, Long> versions = rows.stream().collect(Collectors.toMap(Row::at, Row::version));
     store.commit(
         new Transaction(versions, Map.of(), List.copyOf(versions.keySet())),
-        ANSWER_MILLIS,
+        COMMIT_TIMEOUT_MILLIS,
         answer -> {
           if (answer.outcome() == CommitResult.Outcome.DONE) {
             log("cancels.removed", rows.stream().map(Row::key).toList());
           } else {
             rows.stream()
                 .filter(
-                    row -> answer.outcome() != CommitResult.Outcome.CONFLICT || same(row, answer))
-                .forEach(row -> leaving.putIfAbsent(row.at(), row));
+                    row ->
+                        answer.outcome() != CommitResult.Outcome.CONFLICT
+                            || isUnchanged(row, answer))
+                .forEach(row -> rowsToRemove.putIfAbsent(row.at(), row));
           }
         });
   }
 
-  private static boolean same(Row row, CommitResult answer) {
+  private static boolean isUnchanged(Row row, CommitResult answer) {
     return answer.current(row.at()).stream().anyMatch(now -> now.version() == row.version());
   }
 
   /**
-   * Removes jobs before their progress. The other way round a leader that takes over in between
-   * would find a job without progress, and run it again.
+   * Removes the rows of jobs before their progress. In the opposite order, a leader that takes over
+   * between the two transactions would find a job without progress and run it again.
    */
   private void removeJobs(List<JobId> jobs) {
     List<RowKey> rows =
@@ -170,16 +182,16 @@
     remove(rows, jobs, () -> log("jobs.removed", jobs));
   }
 
-  private void remove(List<RowKey> rows, List<JobId> jobs, Runnable then) {
+  private void remove(List<RowKey> rows, List<JobId> jobs, Runnable onRemoved) {
     store.commit(
         new Transaction(Map.of(), Map.of(), rows),
-        ANSWER_MILLIS,
+        COMMIT_TIMEOUT_MILLIS,
         answer -> {
           if (answer.outcome() == CommitResult.Outcome.DONE) {
-            then.run();
+            onRemoved.run();
           } else {
-            // Removing a row twice does nothing, so the whole job is tried again.
-            jobs.forEach(id -> ended.addFirst(new Ended(id, LONG_AGO_MILLIS)));
+            // Removing a row twice has no effect, so both transactions of the job are retried.
+            jobs.forEach(id -> ended.addFirst(new EndedJob(id, ALREADY_DUE_MILLIS)));
           }
         });
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/RowKey.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/RowKey.java
@@ -1,11 +1,11 @@
 package org.cottontack.daemon.job;
 
 /**
- * Where a row lies in the platform's store.
+ * The location of a row in the platform's store.
  *
  * @param table the table
- * @param part the partition; one transaction stays within one
- * @param key the key
+ * @param part the partition; a transaction is limited to one partition
+ * @param key the key within the partition
  */
 public record RowKey(String table, String part, String key) {
   @Override
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
@@ -4,59 +4,62 @@
 import java.util.function.Consumer;
 
 /**
- * The platform's transactional table service. Calls return at once; each consumer gets exactly one
- * answer, on the process's event loop.
+ * The platform's transactional table service. Calls return at once; each consumer receives exactly
+ * one answer, on the process's event loop.
  */
 public interface TableStore {
 
-  /** Commits a transaction; an answer that does not come in time is {@code UNKNOWN}. */
-  void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done);
+  /**
+   * Commits a transaction; the result is {@code UNKNOWN} if no answer arrives within the timeout.
+   */
+  void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done);
 
-  /** Reads all rows of a partition whose keys begin with a prefix. */
+  /** Reads all rows of a partition whose keys start with a prefix. */
   void scan(String table, String part, String prefix, Consumer<Scan> done);
 
-  /** Waits for changes of a table after a version. */
+  /** Waits for changes of a table after the given version. */
   void watch(String table, long after, long waitMillis, Consumer<Changes> done);
 
   /**
-   * The rows of a partition.
+   * The result of reading a partition.
    *
-   * @param answered false when the store gave no answer
-   * @param rows the rows, by key
-   * @param version the newest version of the store when the rows were read
-   * @param storeMillis the store's steady clock when it answered, in milliseconds; 0 when unknown
+   * @param answered false when the store did not answer
+   * @param rows the rows, ordered by key
+   * @param version the latest version of the store when the rows were read
+   * @param storeMillis the store's monotonic clock at the time of its answer, in milliseconds; 0
+   *     when unknown
    */
   record Scan(boolean answered, List<Row> rows, long version, long storeMillis) {
 
     /** No answer. */
     public static final Scan FAILED = new Scan(false, List.of(), 0, 0);
 
-    /** Keeps the list immutable. */
+    /** Copies the list so that the record is immutable. */
     public Scan {
       rows = List.copyOf(rows);
     }
   }
 
   /**
-   * What has changed in a table.
+   * The result of waiting for changes of a table.
    *
-   * @param outcome whether there is an answer
+   * @param outcome whether the store answered
    * @param rows the changed rows, in order
-   * @param version where to continue
+   * @param version the version from which to continue
    */
   record Changes(Outcome outcome, List<Row> rows, long version) {
 
-    /** Whether a wait for changes was answered. */
+    /** The possible outcomes of waiting for changes. */
     public enum Outcome {
-      /** The rows are all changes after the version asked for. */
+      /** The rows are all changes after the requested version. */
       CURRENT,
-      /** The store has forgotten changes after that version: read everything again. */
+      /** The store no longer has the changes after that version: the table must be read again. */
       FORGOTTEN,
       /** No answer. */
       FAILED
     }
 
-    /** Keeps the list immutable. */
+    /** Copies the list so that the record is immutable. */
     public Changes {
       rows = List.copyOf(rows);
     }
@@ -66,7 +69,7 @@
       return outcome != Outcome.FAILED;
     }
 
-    /** Returns an answer without rows. */
+    /** Returns a result without rows. */
     public static Changes of(Outcome outcome) {
       return new Changes(outcome, List.of(), 0);
     }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
@@ -9,29 +9,33 @@
 import org.cottontack.core.job.JobId;
 
 /**
- * Removes the rows that count jobs as waiting once a task of theirs has started. Confined to the
+ * Removes the rows that count jobs as waiting, once a task of the job has started. Confined to the
  * event loop.
  */
 final class WaitingRows {
 
-  /** Time between two removals; a count may be 2 s old. */
-  private static final long REMOVE_MILLIS = 500;
+  /** Interval between removals, in milliseconds. A reported count may be up to 2 s old. */
+  private static final long REMOVE_INTERVAL_MILLIS = 500;
 
-  /** Rows removed in one transaction; the store takes 100. */
-  private static final int REMOVE_ROWS = 100;
+  /** Rows removed per transaction; the store accepts 100. */
+  private static final int BATCH_SIZE = 100;
 
-  /** Longest wait for one answer, in milliseconds: covers a store that is 60 times slower. */
-  private static final long ANSWER_MILLIS = 2_400;
+  /**
+   * Timeout of a transaction, in milliseconds. It is long enough for a store that is 60 times
+   * slower than usual.
+   */
+  private static final long COMMIT_TIMEOUT_MILLIS = 2_400;
 
   private final TableStore store;
   private final Timers timers;
-  private final Map<String, List<RowKey>> begun = new HashMap<>();
+  private final Map<String, List<RowKey>> rowsToRemove = new HashMap<>();
 
   /**
-   * Partitions with a removal under way. A store that is slow does a few transactions a second in
-   * each partition; removals sent without waiting for the last one would keep new jobs out.
+   * Partitions with a removal in flight. A slow store carries out only a few transactions per
+   * second in each partition. If removals were sent without waiting for the previous one, they
+   * would block the submission of new jobs.
    */
-  private final Set<String> busy = new HashSet<>();
+  private final Set<String> partitionsInFlight = new HashSet<>();
 
   private boolean stopped;
 
@@ -40,44 +44,50 @@
     this.timers = timers;
   }
 
-  /** Takes in that a job no longer waits. */
+  /** Called when a job no longer waits for its first start; schedules its row for removal. */
   void begun(JobId id) {
     add(JobTables.waiting(id));
   }
 
   private void add(RowKey row) {
-    begun.computeIfAbsent(row.part(), part -> new ArrayList<>()).add(row);
+    rowsToRemove.computeIfAbsent(row.part(), part -> new ArrayList<>()).add(row);
   }
 
-  /** Begins to remove rows. */
+  /** Starts periodic removal. */
   void start() {
     if (!stopped) {
-      begun.keySet().stream().filter(part -> !busy.contains(part)).toList().forEach(this::remove);
-      timers.after(REMOVE_MILLIS, this::start);
+      rowsToRemove.keySet().stream()
+          .filter(part -> !partitionsInFlight.contains(part))
+          .toList()
+          .forEach(this::remove);
+      timers.after(REMOVE_INTERVAL_MILLIS, this::start);
     }
   }
 
-  /** Ends; calls under way are carried out. */
+  /** Stops removal; transactions already sent are still carried out. */
   void stop() {
     stopped = true;
   }
 
   private void remove(String part) {
-    List<RowKey> rows = begun.remove(part);
-    List<RowKey> some = List.copyOf(rows.subList(0, Math.min(rows.size(), REMOVE_ROWS)));
-    rows.stream().skip(some.size()).forEach(this::add);
-    busy.add(part);
+    List<RowKey> rows = rowsToRemove.remove(part);
+    List<RowKey> batch = List.copyOf(rows.subList(0, Math.min(rows.size(), BATCH_SIZE)));
+    rows.stream().skip(batch.size()).forEach(this::add);
+    partitionsInFlight.add(part);
     store.commit(
-        new Transaction(Map.of(), Map.of(), some),
-        ANSWER_MILLIS,
+        new Transaction(Map.of(), Map.of(), batch),
+        COMMIT_TIMEOUT_MILLIS,
         answer -> {
-          busy.remove(part);
-          removed(some, answer);
+          partitionsInFlight.remove(part);
+          retryUnlessRemoved(batch, answer);
         });
   }
 
-  /** A row that stays would count its job as waiting for good, so a removal is tried until done. */
-  private void removed(List<RowKey> rows, CommitResult answer) {
+  /**
+   * Schedules rows for another attempt unless they were removed. A row that was left behind would
+   * count its job as waiting indefinitely.
+   */
+  private void retryUnlessRemoved(List<RowKey> rows, CommitResult answer) {
     if (answer.outcome() != CommitResult.Outcome.DONE) {
       rows.forEach(this::add);
     }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
@@ -9,161 +9,170 @@
 import org.apache.logging.log4j.message.StringMapMessage;
 
 /**
- * The platform's store, watched by all calls that this instance makes: whether it still answers,
- * and how long its answers take. A caller whose request cannot be stored is told so at once, and a
- * store that is slow is not asked again before it can have answered. Confined to the event loop.
+ * Wraps the platform's store and tracks, over all calls of this instance, whether the store answers
+ * and how long its answers take. Callers use this to reject a request at once when it cannot be
+ * stored, and to repeat a call to a slow store only after a timeout that fits its recent latency.
+ * Confined to the event loop.
  */
 public final class WatchedStore implements TableStore {
 
   private static final Logger LOG = LogManager.getLogger(WatchedStore.class);
 
   /**
-   * Time without any answer, while one is due, after which the store counts as away, in
-   * milliseconds. Reads of a store that is 60 times slower than usual take 250 ms, its transactions
-   * 500 ms; callers wait 3 s, which leaves them time to try elsewhere.
+   * Time without any answer, while at least one is due, after which the store counts as
+   * unavailable, in milliseconds. In a store that is 60 times slower than usual, reads take 250 ms
+   * and transactions 500 ms. Callers wait 3 s, so they still have time to try another instance.
    */
-  static final long SILENCE_MILLIS = 700;
+  static final long SILENCE_LIMIT_MILLIS = 700;
 
-  /** Time in which an answer usually comes, in milliseconds: 20 times that of a calm store. */
-  private static final long LEAST_PATIENCE_MILLIS = 400;
+  /**
+   * Shortest time before a call is repeated, in milliseconds: 20 times the usual latency of the
+   * store.
+   */
+  private static final long MIN_RETRY_TIMEOUT_MILLIS = 400;
 
-  /** Longest time until a call is repeated, in milliseconds. */
-  private static final long MOST_PATIENCE_MILLIS = 2_000;
+  /** Longest time before a call is repeated, in milliseconds. */
+  private static final long MAX_RETRY_TIMEOUT_MILLIS = 2_000;
 
-  /** A call is repeated after this many times the time that recent answers took. */
-  private static final int PATIENCE_FACTOR = 4;
+  /** Ratio of the time before a call is repeated to the recent peak latency. */
+  private static final int RETRY_TIMEOUT_FACTOR = 4;
 
-  /** Time in which half of a slow answer is forgotten, in milliseconds. */
-  private static final double FORGET_MILLIS = 2_000;
+  /** Half-life of the recorded peak latency, in milliseconds. */
+  private static final double LATENCY_HALF_LIFE_MILLIS = 2_000;
 
-  /** Time between two looks at what is due, in milliseconds. */
-  private static final long LOOK_MILLIS = 100;
+  /** Interval between checks for overdue answers, in milliseconds. */
+  private static final long CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * Longest time between two looks that counts as silence, in milliseconds. A process that was
-   * paused, or that starts on little processor time, has answers unread; counted in full, it turned
-   * callers away for seconds though the store had answered.
+   * Longest part of the time between two checks that counts as silence, in milliseconds. A process
+   * that was paused, or that gets little processor time at startup, has answers that it has not
+   * read yet. If the whole pause counted, callers would be rejected for seconds although the store
+   * had answered.
    */
-  private static final long LONGEST_GAP_MILLIS = 150;
+  private static final long MAX_CHECK_GAP_MILLIS = 150;
 
   private static final long NEVER = Long.MAX_VALUE;
 
   private final TableStore store;
   private final Timers timers;
-  private final Set<Call> open = new LinkedHashSet<>();
-  private long heardMillis;
-  private long missedMillis = NEVER;
-  private double slowMillis;
-  private long slowAtMillis;
-  private long lookedMillis;
+  private final Set<Call> openCalls = new LinkedHashSet<>();
+  private long lastAnswerMillis;
+  private long earliestMissedMillis = NEVER;
+  private double peakLatencyMillis;
+  private long peakLatencyAtMillis;
+  private long lastCheckMillis;
   private long silentMillis;
-  private boolean away;
+  private boolean unavailable;
 
-  /** Watches a store. */
+  /** Creates a wrapper of a store. */
   public WatchedStore(TableStore store, Timers timers) {
     this.store = store;
     this.timers = timers;
-    this.heardMillis = timers.now().mono();
-    this.lookedMillis = heardMillis;
-    timers.after(LOOK_MILLIS, this::look);
+    this.lastAnswerMillis = timers.now().mono();
+    this.lastCheckMillis = lastAnswerMillis;
+    timers.after(CHECK_INTERVAL_MILLIS, this::checkSilence);
   }
 
-  private void look() {
+  private void checkSilence() {
     long now = timers.now().mono();
-    long due = open.stream().mapToLong(call -> call.dueMillis).min().orElse(NEVER);
-    long silentSince = Math.max(Math.min(due, missedMillis), heardMillis);
-    long passed = Math.min(now - Math.max(lookedMillis, silentSince), LONGEST_GAP_MILLIS);
-    silentMillis = silentSince < now ? silentMillis + passed : 0;
-    lookedMillis = now;
-    tell(silentMillis >= SILENCE_MILLIS);
-    timers.after(LOOK_MILLIS, this::look);
+    long earliestDueMillis =
+        openCalls.stream().mapToLong(call -> call.dueMillis).min().orElse(NEVER);
+    long silentSinceMillis =
+        Math.max(Math.min(earliestDueMillis, earliestMissedMillis), lastAnswerMillis);
+    long elapsedMillis =
+        Math.min(now - Math.max(lastCheckMillis, silentSinceMillis), MAX_CHECK_GAP_MILLIS);
+    silentMillis = silentSinceMillis < now ? silentMillis + elapsedMillis : 0;
+    lastCheckMillis = now;
+    setUnavailable(silentMillis >= SILENCE_LIMIT_MILLIS);
+    timers.after(CHECK_INTERVAL_MILLIS, this::checkSilence);
   }
 
-  private void tell(boolean next) {
-    if (next == away) {
+  private void setUnavailable(boolean next) {
+    if (next == unavailable) {
       return;
     }
-    away = next;
+    unavailable = next;
     LOG.info(
         new StringMapMessage()
             .with("event", next ? "store.away" : "store.back")
-            .with("silentMillis", timers.now().mono() - heardMillis)
-            .with("open", open.size()));
+            .with("silentMillis", timers.now().mono() - lastAnswerMillis)
+            .with("open", openCalls.size()));
   }
 
-  /** A call under way, with the time at which its answer is due. */
+  /** A call in flight, with the time at which its answer is due. */
   private final class Call {
     private final long dueMillis;
 
     Call(long waitMillis) {
       dueMillis = timers.now().mono() + waitMillis;
-      open.add(this);
+      openCalls.add(this);
     }
 
-    void ended(boolean answered) {
-      open.remove(this);
+    void completed(boolean answered) {
+      openCalls.remove(this);
       if (answered) {
-        heard(timers.now().mono());
+        recordAnswer(timers.now().mono());
       } else {
-        missedMillis = Math.min(missedMillis, dueMillis);
+        earliestMissedMillis = Math.min(earliestMissedMillis, dueMillis);
       }
     }
 
-    private void heard(long nowMillis) {
-      slowMillis = Math.max(slowNow(nowMillis), (double) (nowMillis - dueMillis));
-      slowAtMillis = nowMillis;
-      heardMillis = nowMillis;
-      missedMillis = NEVER;
+    private void recordAnswer(long nowMillis) {
+      peakLatencyMillis = Math.max(decayedPeakLatency(nowMillis), (double) (nowMillis - dueMillis));
+      peakLatencyAtMillis = nowMillis;
+      lastAnswerMillis = nowMillis;
+      earliestMissedMillis = NEVER;
       silentMillis = 0;
-      tell(false);
+      setUnavailable(false);
     }
   }
 
-  private double slowNow(long nowMillis) {
-    return slowMillis * Math.pow(0.5, (nowMillis - slowAtMillis) / FORGET_MILLIS);
+  private double decayedPeakLatency(long nowMillis) {
+    return peakLatencyMillis
+        * Math.pow(0.5, (nowMillis - peakLatencyAtMillis) / LATENCY_HALF_LIFE_MILLIS);
   }
 
-  private <T> Consumer<T> watched(long waitMillis, Predicate<T> answered, Consumer<T> done) {
+  private <T> Consumer<T> tracked(long waitMillis, Predicate<T> answered, Consumer<T> done) {
     Call call = new Call(waitMillis);
     return answer -> {
-      call.ended(answered.test(answer));
+      call.completed(answered.test(answer));
       done.accept(answer);
     };
   }
 
   @Override
-  public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
-    store.commit(change, timeoutMillis, watched(0, CommitResult::served, done));
+  public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
+    store.commit(transaction, timeoutMillis, tracked(0, CommitResult::served, done));
   }
 
   @Override
   public void scan(String table, String part, String prefix, Consumer<Scan> done) {
-    store.scan(table, part, prefix, watched(0, Scan::answered, done));
+    store.scan(table, part, prefix, tracked(0, Scan::answered, done));
   }
 
   @Override
   public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
-    store.watch(table, after, waitMillis, watched(waitMillis, Changes::answered, done));
+    store.watch(table, after, waitMillis, tracked(waitMillis, Changes::answered, done));
   }
 
-  /** Returns whether the store serves no call of this instance, as far as that is known. */
-  public boolean away() {
-    return away;
+  /** Returns whether the store appears to serve no calls of this instance. */
+  public boolean unavailable() {
+    return unavailable;
   }
 
-  /** Asks for next to nothing, to see whether an answer comes. */
+  /** Sends a minimal read to find out whether the store answers. */
   void probe() {
     scan(JobTables.LEADER, JobTables.LEADER_PART, JobTables.LEADER_PART, scan -> {});
   }
 
-  /** Returns whether the store has answered any call after a time. */
-  boolean heardSince(long millis) {
-    return heardMillis > millis;
+  /** Returns whether the store has answered any call after a given time. */
+  boolean answeredSince(long millis) {
+    return lastAnswerMillis > millis;
   }
 
-  /** Returns how long to wait for an answer until a call is repeated, in milliseconds. */
+  /** Returns how long to wait for an answer before a call is repeated, in milliseconds. */
   long patienceMillis() {
-    double patience = PATIENCE_FACTOR * slowNow(timers.now().mono());
-    return (long) Math.max(LEAST_PATIENCE_MILLIS, Math.min(MOST_PATIENCE_MILLIS, patience));
+    double timeout = RETRY_TIMEOUT_FACTOR * decayedPeakLatency(timers.now().mono());
+    return (long) Math.max(MIN_RETRY_TIMEOUT_MILLIS, Math.min(MAX_RETRY_TIMEOUT_MILLIS, timeout));
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/metrics/DaemonMetrics.java
+++ b/daemon/src/main/java/org/cottontack/daemon/metrics/DaemonMetrics.java
@@ -11,12 +11,12 @@
 import org.cottontack.core.request.Ran;
 import org.mpierce.metrics.reservoir.hdrhistogram.HdrHistogramResetOnSnapshotReservoir;
 
-/** The metrics of one process; names are stable and listed in {@code docs/OPERATIONS.md}. */
+/** The metrics of a process. Their names are stable and listed in {@code docs/OPERATIONS.md}. */
 public final class DaemonMetrics {
 
   private final MetricRegistry registry = new MetricRegistry();
 
-  /** Creates the metrics over the state of the engine. */
+  /** Creates the metrics, with gauges that read the state of the engine. */
   public DaemonMetrics(Supplier<State> state) {
     gauge("requests.open", () -> state.get().requests().open().size());
     gauge("requests.waiting", () -> state.get().requests().waiting());
@@ -48,7 +48,7 @@
     registry.counter("effects." + name(effect.getClass())).inc();
   }
 
-  /** Records the time from arrival to the final answer. */
+  /** Records the time from the arrival of a request to its final answer. */
   public void answered(Ran ran, long nanos) {
     registry
         .timer(
--- a/daemon/src/main/java/org/cottontack/daemon/metrics/MetricsText.java
+++ b/daemon/src/main/java/org/cottontack/daemon/metrics/MetricsText.java
@@ -9,14 +9,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Writes metrics in the text format that common scrapers read. */
+/** Writes metrics in the Prometheus text format. */
 public final class MetricsText {
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   private MetricsText() {}
 
-  /** Returns all metrics, one sample a line. */
+  /** Returns all metrics, one sample per line. */
   public static String of(MetricRegistry registry) {
     return registry.getMetrics().entrySet().stream()
         .flatMap(entry -> lines(entry.getKey(), entry.getValue()))
--- a/daemon/src/main/java/org/cottontack/daemon/metrics/package-info.java
+++ b/daemon/src/main/java/org/cottontack/daemon/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics of this process. */
+/** Metrics of the process and their text format. */
 package org.cottontack.daemon.metrics;
--- a/daemon/src/main/java/org/cottontack/daemon/settings/DaemonSettings.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/DaemonSettings.java
@@ -6,7 +6,7 @@
 import org.cottontack.core.id.DataCentreId;
 import org.cottontack.core.id.InstanceId;
 
-/** The checked settings of one process. */
+/** The validated settings of an entry instance. */
 public final class DaemonSettings {
 
   private final Map<SettingKey, String> values;
@@ -15,12 +15,12 @@
     this.values = Map.copyOf(values);
   }
 
-  /** Returns an address. */
+  /** Returns the value of an address setting. */
   public Address address(SettingKey key) {
     return Address.parse(values.get(key));
   }
 
-  /** Returns a number in the setting's unit. */
+  /** Returns the value of a number setting, in the setting's unit. */
   public long number(SettingKey key) {
     return Long.parseLong(values.get(key));
   }
@@ -30,7 +30,7 @@
     return new DataCentreId(values.get(SettingKey.DATA_CENTRE));
   }
 
-  /** Returns what the core needs, for one incarnation. */
+  /** Returns the settings of the core for one incarnation. */
   public Settings core(InstanceId self) {
     return new Settings(
         self,
--- a/daemon/src/main/java/org/cottontack/daemon/settings/JobSettings.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/JobSettings.java
@@ -6,16 +6,19 @@
 import org.cottontack.adapters.Address;
 import org.cottontack.core.job.Capacity;
 
-/** The checked settings of an entry instance for jobs. */
+/** The validated settings of an entry instance for jobs. */
 public final class JobSettings {
 
-  /** Shortest time that a state stays readable: well over all retries of callers and the store. */
-  private static final long LEAST_KEEP_MILLIS = 120_000;
+  /**
+   * Shortest time for which the state of an ended job stays readable, in milliseconds. It is much
+   * longer than all retries by callers and the store.
+   */
+  private static final long MIN_KEEP_MILLIS = 120_000;
 
-  /** Decimal places from a unit to its thousandths. */
+  /** Number of decimal places by which a value is shifted to convert it to thousandths. */
   private static final int TO_THOUSANDTHS = 3;
 
-  /** Every setting, with its place in the file, its unit, its range and its default. */
+  /** All settings, each with its path in the file, its unit, its range and its default. */
   private enum Key implements SettingName {
     NAME(SettingRule.text("name", "name of the instance")),
     DATA_CENTRE(SettingRule.text("dataCentre", "name of the data centre")),
@@ -48,18 +51,18 @@
   }
 
   /**
-   * Loads a file.
+   * Loads a settings file.
    *
-   * @throws SettingsException with every fault at once
+   * @throws SettingsException with all faults at once
    */
   public static JobSettings load(Path file) {
     return parse(SettingsLoader.read(file));
   }
 
   /**
-   * Reads settings from text.
+   * Parses settings from text.
    *
-   * @throws SettingsException with every fault at once
+   * @throws SettingsException with all faults at once
    */
   public static JobSettings parse(String text) {
     return new JobSettings(SettingsLoader.values(text, Key.class));
@@ -70,42 +73,47 @@
     return values.get(Key.NAME);
   }
 
-  /** Returns where it is. */
+  /** Returns the instance's data centre. */
   public String dataCentre() {
     return values.get(Key.DATA_CENTRE);
   }
 
-  /** Returns where callers reach it. */
+  /** Returns the address on which the instance serves callers. */
   public Address callers() {
     return Address.parse(values.get(Key.LISTEN_CALLERS));
   }
 
-  /** Returns where the platform asks whether it takes new callers. */
+  /** Returns the address on which the platform checks whether the instance accepts new callers. */
   public Address readiness() {
     return Address.parse(values.get(Key.LISTEN_READINESS));
   }
 
-  /** Returns where counters and histograms are served. */
+  /** Returns the address on which metrics are served. */
   public Address metrics() {
     return Address.parse(values.get(Key.LISTEN_METRICS));
   }
 
-  /** Returns the platform's store. */
+  /** Returns the address of the platform's store. */
   public Address store() {
     return Address.parse(values.get(Key.PLATFORM_STORE));
   }
 
-  /** Returns how long the state of a job that ended stays readable, at least two minutes. */
+  /**
+   * Returns how long the state of an ended job stays readable, in milliseconds; at least two
+   * minutes.
+   */
   public long keepMillis() {
-    return Math.max(LEAST_KEEP_MILLIS, millis(Key.KEEP));
+    return Math.max(MIN_KEEP_MILLIS, millis(Key.KEEP));
   }
 
-  /** Returns the time from the order to stop until the process is killed. */
+  /** Returns the time from the stop order until the process is killed, in milliseconds. */
   public long graceMillis() {
     return millis(Key.GRACE);
   }
 
-  /** Returns what the instance has for leading, by its processor and its link. */
+  /**
+   * Returns the instance's capacity as a leader, computed from its processor share and its link.
+   */
   public Capacity capacity() {
     BigDecimal processor = number(Key.PROCESSOR_SHARE).multiply(number(Key.CORES));
     return new Capacity(thousandths(processor), thousandths(number(Key.LINK)));
--- a/daemon/src/main/java/org/cottontack/daemon/settings/SettingKey.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/SettingKey.java
@@ -1,42 +1,45 @@
 package org.cottontack.daemon.settings;
 
-/** Every setting of an entry instance, with its place in the file, unit, range and default. */
+/**
+ * All settings of an entry instance, each with its path in the file, its unit, its range and its
+ * default.
+ */
 public enum SettingKey implements SettingName {
-  /** The data centre this instance stands in. */
+  /** The data centre of this instance. */
   DATA_CENTRE(SettingRule.text("dataCentre", "name of the data centre")),
-  /** Where callers reach it. */
+  /** The address on which callers reach it. */
   LISTEN_CALLERS(SettingRule.address("listen.callers")),
-  /** Where operators reach it. */
+  /** The address on which operators reach it. */
   LISTEN_OPERATORS(SettingRule.address("listen.operators")),
-  /** Where other entry instances reach it. */
+  /** The address on which other entry instances reach it. */
   LISTEN_PEERS(SettingRule.address("listen.peers")),
-  /** The platform's table service. */
+  /** The address of the platform's table service. */
   PLATFORM_STORE(SettingRule.address("platform.store")),
-  /** The platform's list of instances. */
+  /** The address of the platform's list of instances. */
   PLATFORM_MEMBERSHIP(SettingRule.address("platform.membership")),
-  /** Longest wait for the table service. */
+  /** Timeout of calls to the table service. */
   PLATFORM_TIMEOUT(
       SettingRule.number("platform.timeoutMillis", "1000", 10, 60_000, "milliseconds")),
-  /** Ownership lease. */
+  /** Duration of the ownership lease. */
   LEASE(SettingRule.number("ownership.leaseMillis", "10000", 500, 600_000, "milliseconds")),
-  /** Margin for clocks that run at different speeds. */
+  /** Margin for clocks that run at different rates. */
   DRIFT(SettingRule.number("ownership.driftMarginMillis", "1000", 10, 60_000, "milliseconds")),
-  /** Longest time ownership may be kept up without the store. */
+  /** Longest time for which ownership may be kept without contact to the store. */
   CUT_HORIZON(
       SettingRule.number(
           "ownership.cutHorizonMillis", "600000", 1_000, 86_400_000, "milliseconds")),
-  /** Longest time an order may be under way. */
+  /** Longest time for which an order may be in flight. */
   ORDER_LIFETIME(
       SettingRule.number("ownership.orderLifetimeMillis", "2000", 50, 60_000, "milliseconds")),
-  /** Lease of running tasks. */
+  /** Duration of the lease of a running task. */
   TASK_LEASE(SettingRule.number("tasks.leaseMillis", "30000", 1_000, 86_400_000, "milliseconds")),
-  /** Least time between two transactions. */
+  /** Minimum interval between two transactions. */
   BATCH_GAP(SettingRule.number("store.batchGapMillis", "25", 0, 10_000, "milliseconds")),
-  /** Most requests held. */
+  /** Maximum number of requests held. */
   MAX_QUEUED(SettingRule.number("limits.maxQueued", "4000", 1, 1_000_000, "requests")),
-  /** Longest graceful stop. */
+  /** Maximum duration of a graceful stop. */
   DRAIN(SettingRule.number("limits.drainMillis", "20000", 0, 3_600_000, "milliseconds")),
-  /** Entries of the time line kept in memory. */
+  /** Number of time line entries kept in memory. */
   TIMELINE(SettingRule.number("limits.timelineEntries", "20000", 100, 1_000_000, "entries"));
 
   private final SettingRule rule;
--- a/daemon/src/main/java/org/cottontack/daemon/settings/SettingName.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/SettingName.java
@@ -1,12 +1,12 @@
 package org.cottontack.daemon.settings;
 
-/** A setting of one kind of process. */
+/** A setting of some kind of process. */
 interface SettingName {
 
-  /** Returns what holds for it. */
+  /** Returns the rule that its value must satisfy. */
   SettingRule rule();
 
-  /** Returns where it stands in the file. */
+  /** Returns its path in the file. */
   default String path() {
     return rule().path();
   }
--- a/daemon/src/main/java/org/cottontack/daemon/settings/SettingRule.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/SettingRule.java
@@ -7,22 +7,22 @@
 import org.cottontack.adapters.Address;
 
 /**
- * What holds for one setting.
+ * The rule for the value of a setting.
  *
- * @param path its place in the file, such as {@code listen.callers}
- * @param kind what its value is
- * @param fallback its default, or nothing when it must be given
- * @param least smallest number
- * @param most largest number
- * @param unit unit of a number, or what a text names
+ * @param path its path in the file, such as {@code listen.callers}
+ * @param kind the type of the value
+ * @param defaultValue its default, or empty when the setting is required
+ * @param min smallest allowed number
+ * @param max largest allowed number
+ * @param unit the unit of a number, or what a text stands for
  */
 @Immutable
 record SettingRule(
-    String path, Kind kind, Optional<String> fallback, long least, long most, String unit) {
+    String path, Kind kind, Optional<String> defaultValue, long min, long max, String unit) {
 
-  /** What a value is. */
+  /** The type of a value. */
   enum Kind {
-    /** A text that is not blank. */
+    /** A non-blank text. */
     TEXT {
       @Override
       Optional<String> fault(SettingRule rule, String value) {
@@ -43,26 +43,30 @@
         }
       }
     },
-    /** A whole number within bounds. */
+    /** A whole number within a range. */
     NUMBER {
       @Override
       Optional<String> fault(SettingRule rule, String value) {
         try {
           long number = Long.parseLong(value);
-          return rule.outside(number) ? Optional.of(rule.outsideFault(value)) : Optional.empty();
+          return rule.isOutOfRange(number)
+              ? Optional.of(rule.outOfRangeFault(value))
+              : Optional.empty();
         } catch (NumberFormatException e) {
           return Optional.of(
               "%s: '%s' is not a whole number of %s".formatted(rule.path, value, rule.unit));
         }
       }
     },
-    /** A number within bounds, whole or with a fraction. */
+    /** A decimal number within a range. */
     DECIMAL {
       @Override
       Optional<String> fault(SettingRule rule, String value) {
         try {
           long whole = new BigDecimal(value).longValue();
-          return rule.outside(whole) ? Optional.of(rule.outsideFault(value)) : Optional.empty();
+          return rule.isOutOfRange(whole)
+              ? Optional.of(rule.outOfRangeFault(value))
+              : Optional.empty();
         } catch (NumberFormatException e) {
           return Optional.of(
               "%s: '%s' is not a number of %s".formatted(rule.path, value, rule.unit));
@@ -81,28 +85,28 @@
     return new SettingRule(path, Kind.ADDRESS, Optional.empty(), 0, 0, "host:port");
   }
 
-  static SettingRule number(String path, String fallback, long least, long most, String unit) {
-    return new SettingRule(path, Kind.NUMBER, Optional.of(fallback), least, most, unit);
+  static SettingRule number(String path, String defaultValue, long min, long max, String unit) {
+    return new SettingRule(path, Kind.NUMBER, Optional.of(defaultValue), min, max, unit);
   }
 
-  static SettingRule seconds(String path, String fallback, long least, long most) {
-    return decimal(path, fallback, least, most, "seconds");
+  static SettingRule seconds(String path, String defaultValue, long min, long max) {
+    return decimal(path, defaultValue, min, max, "seconds");
   }
 
-  static SettingRule decimal(String path, String fallback, long least, long most, String unit) {
-    return new SettingRule(path, Kind.DECIMAL, Optional.of(fallback), least, most, unit);
+  static SettingRule decimal(String path, String defaultValue, long min, long max, String unit) {
+    return new SettingRule(path, Kind.DECIMAL, Optional.of(defaultValue), min, max, unit);
   }
 
-  /** Returns what is wrong with a value, or nothing when it is right. */
+  /** Returns the fault of a value, or empty when the value is valid. */
   Optional<String> fault(String value) {
     return kind.fault(this, value);
   }
 
-  private boolean outside(long number) {
-    return number < least || number > most;
+  private boolean isOutOfRange(long number) {
+    return number < min || number > max;
   }
 
-  private String outsideFault(String value) {
-    return "%s: %s is not between %d and %d %s".formatted(path, value, least, most, unit);
+  private String outOfRangeFault(String value) {
+    return "%s: %s is not between %d and %d %s".formatted(path, value, min, max, unit);
   }
 }
--- a/daemon/src/main/java/org/cottontack/daemon/settings/SettingsLoader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/SettingsLoader.java
@@ -15,7 +15,7 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 import org.cottontack.adapters.json.Json;
 
-/** Reads settings from YAML and checks every value before the process starts. */
+/** Reads settings from YAML and validates all values before the process starts. */
 public final class SettingsLoader {
 
   private static final YAMLMapper YAML = new YAMLMapper();
@@ -23,18 +23,18 @@
   private SettingsLoader() {}
 
   /**
-   * Loads a file of an entry instance.
+   * Loads the settings file of an entry instance.
    *
-   * @throws SettingsException with every fault at once
+   * @throws SettingsException with all faults at once
    */
   public static DaemonSettings load(Path file) {
     return parse(read(file));
   }
 
   /**
-   * Reads settings of an entry instance from text.
+   * Parses the settings of an entry instance from text.
    *
-   * @throws SettingsException with every fault at once
+   * @throws SettingsException with all faults at once
    */
   public static DaemonSettings parse(String text) {
     return new DaemonSettings(values(text, SettingKey.class));
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Returns the value of each setting of a kind of process.
+   * Returns the value of each setting of one kind of process.
    *
-   * @throws SettingsException with every fault at once
+   * @throws SettingsException with all faults at once
    */
   static <K extends Enum<K> & SettingName> Map<K, String> values(String text, Class<K> kind) {
     Map<String, String> found = flatten(tree(text));
@@ -69,7 +69,7 @@
         .forEach(faults::add);
     Map<K, String> values = new EnumMap<>(kind);
     for (K key : keys) {
-      String value = found.getOrDefault(key.path(), key.rule().fallback().orElse(null));
+      String value = found.getOrDefault(key.path(), key.rule().defaultValue().orElse(null));
       if (value == null) {
         faults.add(key.path() + ": is missing and has no default");
       } else {
--- a/daemon/src/main/java/org/cottontack/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of the process, read from YAML and checked at start. */
+/** Settings of the process, read from YAML and validated at startup. */
 package org.cottontack.daemon.settings;
--- a/daemon/src/main/java/org/cottontack/daemon/timeline/Timeline.java
+++ b/daemon/src/main/java/org/cottontack/daemon/timeline/Timeline.java
@@ -5,28 +5,28 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The newest events of this process, in memory because instances have no disk. */
+/** The most recent events of this process, kept in memory because instances have no disk. */
 public final class Timeline {
 
   private final int capacity;
   private final Deque<Entry> entries = new ArrayDeque<>();
   private long dropped;
 
-  /** Creates a time line that keeps so many entries. */
+  /** Creates a time line that keeps at most the given number of entries. */
   public Timeline(int capacity) {
     this.capacity = capacity;
   }
 
   /**
-   * One event.
+   * An event.
    *
-   * @param stamp hybrid logical clock
+   * @param stamp timestamp of the hybrid logical clock
    * @param wallMillis milliseconds since 1970
    * @param instance the incarnation
    * @param dataCentre its data centre
-   * @param event stable name
-   * @param subject what it is about
-   * @param detail one line
+   * @param event stable name of the event
+   * @param subject the object that the event is about
+   * @param detail one line of details
    */
   public record Entry(
       long stamp,
@@ -37,7 +37,7 @@
       String subject,
       String detail) {}
 
-  /** Adds an event; the oldest goes when the time line is full. */
+  /** Adds an event; if the time line is full, the oldest event is dropped. */
   public synchronized void add(Entry entry) {
     if (entries.size() >= capacity) {
       entries.removeFirst();
@@ -51,7 +51,7 @@
     return entries.stream().filter(wanted).toList();
   }
 
-  /** Returns how many events were dropped because it was full. */
+  /** Returns how many events were dropped because the time line was full. */
   public synchronized long dropped() {
     return dropped;
   }
--- a/daemon/src/main/java/org/cottontack/daemon/timeline/package-info.java
+++ b/daemon/src/main/java/org/cottontack/daemon/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** Events of this process in causal order, kept in memory. */
+/** The recent events of this process in causal order, kept in memory. */
 package org.cottontack.daemon.timeline;
--- a/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
@@ -20,18 +20,24 @@
 import org.cottontack.wire.JobCodec;
 import org.testng.annotations.Test;
 
-/** Tests of what a leader starts of jobs that are cancelled, and of the rows that are left. */
+/** Tests which tasks a leader starts for cancelled jobs, and which rows remain in the store. */
 public class CancelledJobsTest {
 
-  /** What a leader starts of jobs that are cancelled. */
+  /** Starts of tasks of cancelled jobs. */
   public static class Cancelling {
 
-    /** Longest time from an acknowledged cancellation to the last start, in milliseconds. */
+    /**
+     * Longest allowed time from the acknowledgement of a cancellation to the last start, in
+     * milliseconds.
+     */
     private static final long CANCEL_MILLIS = 3_000;
 
-    /** Guards against work of a job that is stored after its cancellation was acknowledged. */
+    /**
+     * Guards against tasks of a job whose submission the store carries out late, after the job's
+     * cancellation was acknowledged.
+     */
     @Test
-    public void startsNothingOfJobsThatAreStoredLate() {
+    public void startsNoTasksOfJobsStoredAfterTheirCancellation() {
       List<Long> started =
           LongStream.iterate(200, late -> late <= 10_000, late -> late + 200)
               .filter(Cancelling::startsLate)
@@ -40,44 +46,54 @@
       assertEquals(started, List.of(), started.size() + " of 50 delays");
     }
 
-    /** Guards against a cancellation that is told before its job and forgotten beside old ones. */
+    /**
+     * Guards against a leader that reads a cancellation before its job and forgets it among
+     * cancellations of 20,000 ended jobs.
+     */
     @Test
-    public void startsNothingOfJobsThatCancellationsOvertook() {
-      LeaderSimulation lab = new LeaderSimulation();
+    public void startsNoTasksOfJobsReadAfterTheirCancellation() {
+      LeaderSimulation simulation = new LeaderSimulation();
       Map<RowKey, Payload> rows = new HashMap<>();
       for (int i = 0; i < 20_000; i++) {
         JobId ended = new JobId("ended" + i);
         rows.put(JobTables.cancel(ended), Payload.of("1"));
         rows.put(JobTables.progress(ended), Payload.of("x"));
       }
-      List<JobId> overtaken = IntStream.range(0, 40).mapToObj(i -> new JobId("job" + i)).toList();
-      overtaken.forEach(id -> rows.put(JobTables.cancel(id), Payload.of("1")));
-      lab.write(rows);
-      lab.restart();
-      lab.time.run(10_000);
-      assertEquals(lab.entry.leadingEpoch(), 2);
-      lab.write(
-          overtaken.stream()
+      List<JobId> cancelledFirst =
+          IntStream.range(0, 40).mapToObj(i -> new JobId("job" + i)).toList();
+      cancelledFirst.forEach(id -> rows.put(JobTables.cancel(id), Payload.of("1")));
+      simulation.write(rows);
+      simulation.restart();
+      simulation.time.run(10_000);
+      assertEquals(simulation.entry.leadingEpoch(), 2);
+      simulation.write(
+          cancelledFirst.stream()
               .collect(
                   Collectors.toMap(
                       JobTables::job, id -> Payload.of(JobCodec.write(TestJobs.job(id, 1))))));
-      lab.time.run(5_000);
-      assertEquals(lab.starts.size(), 0, "of 40 jobs");
+      simulation.time.run(5_000);
+      assertEquals(simulation.starts.size(), 0, "of 40 jobs");
     }
 
-    /** Guards against work of a job that an earlier version stores beside its cancellation. */
+    /**
+     * Guards against tasks of a job that an instance of an earlier version stores although there is
+     * a cancellation.
+     */
     @Test
-    public void endsJobsThatAreStoredBesideTheirCancellation() {
+    public void endsJobsStoredDespiteTheirCancellation() {
       List<String> faults =
           LongStream.iterate(50, late -> late <= 10_000, late -> late + 200)
               .boxed()
-              .flatMap(late -> Stream.of(Takeover.values()).map(when -> faultBeside(late, when)))
+              .flatMap(
+                  late ->
+                      Stream.of(Takeover.values())
+                          .map(when -> faultDespiteCancellation(late, when)))
               .filter(fault -> !fault.isEmpty())
               .toList();
       assertEquals(faults, List.of(), faults.size() + " of 200 cases");
     }
 
-    /** When the leader changes. */
+    /** The time at which the leader changes. */
     private enum Takeover {
       NEVER,
       BEFORE_JOB,
@@ -85,37 +101,41 @@
       LATER
     }
 
-    private static String faultBeside(long lateMillis, Takeover when) {
-      LeaderSimulation lab = new LeaderSimulation();
+    private static String faultDespiteCancellation(long lateMillis, Takeover when) {
+      LeaderSimulation simulation = new LeaderSimulation();
       List<Long> acknowledged = new ArrayList<>();
-      lab.entry
+      simulation
+          .entry
           .intake()
           .cancel(
               new JobId("a"),
               OptionalLong.empty(),
-              answer -> acknowledged.add(lab.process.now().mono()));
-      lab.time.run(lateMillis);
+              answer -> acknowledged.add(simulation.process.now().mono()));
+      simulation.time.run(lateMillis);
       if (when == Takeover.BEFORE_JOB) {
-        lab.restart();
+        simulation.restart();
       }
-      lab.write(submission("a"));
+      simulation.write(submission("a"));
       if (when == Takeover.RIGHT_AFTER_JOB) {
-        lab.restart();
+        simulation.restart();
       }
-      lab.time.run(5_000);
+      simulation.time.run(5_000);
       if (when == Takeover.LATER) {
-        lab.restart();
+        simulation.restart();
       }
-      lab.time.run(10_000);
-      long latest = acknowledged.get(0) + CANCEL_MILLIS;
-      long late = lab.startMillis.stream().filter(at -> at > latest).count();
-      return late == 0 && lab.running.isEmpty()
+      simulation.time.run(10_000);
+      long lastStartMillis = acknowledged.get(0) + CANCEL_MILLIS;
+      long late = simulation.startMillis.stream().filter(at -> at > lastStartMillis).count();
+      return late == 0 && simulation.running.isEmpty()
           ? ""
           : "%d ms, %s: %d late starts, running %s"
-              .formatted(lateMillis, when, late, lab.running.keySet());
+              .formatted(lateMillis, when, late, simulation.running.keySet());
     }
 
-    /** Returns what a submission writes; the earlier version ignores rows of cancellations. */
+    /**
+     * Returns the rows that a submission writes. An earlier version does not check for a
+     * cancellation's row.
+     */
     private static Map<RowKey, Payload> submission(String id) {
       return Map.of(
           JobTables.job(new JobId(id)),
@@ -124,146 +144,170 @@
           Payload.of(TestJobs.QUEUE.name()));
     }
 
-    /** Guards against work of a job whose cancellation without it is news after the job is. */
+    /**
+     * Guards against tasks of a job when the leader reads the job first, and only then a
+     * cancellation that was written before the job.
+     */
     @Test
-    public void endsJobsThatAreKnownBeforeTheirCancellation() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.submit("a");
-      lab.time.run(1_000);
-      assertEquals(lab.running.size(), 1);
-      lab.write(JobTables.cancel(new JobId("a")), "0");
-      lab.time.run(3_000);
-      assertTrue(lab.running.isEmpty());
+    public void endsJobsReadBeforeTheirCancellation() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.submit("a");
+      simulation.time.run(1_000);
+      assertEquals(simulation.running.size(), 1);
+      simulation.write(JobTables.cancel(new JobId("a")), "0");
+      simulation.time.run(3_000);
+      assertTrue(simulation.running.isEmpty());
     }
 
-    /** Guards against cancellations of any identifiers that drive out those that overtook jobs. */
+    /**
+     * Guards against a leader that forgets cancellations that were stored before their jobs,
+     * because there are many later cancellations of unknown jobs.
+     */
     @Test
-    public void keepsCancellationsBesideManyOfNoJob() {
-      LeaderSimulation lab = new LeaderSimulation();
-      List<String> overtaken = IntStream.range(0, 40).mapToObj(i -> "job" + i).toList();
+    public void keepsCancellationsAmongManyWithoutJobs() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      List<String> cancelledFirst = IntStream.range(0, 40).mapToObj(i -> "job" + i).toList();
       Map<RowKey, Payload> early = new HashMap<>();
-      overtaken.forEach(id -> early.put(JobTables.cancel(new JobId(id)), Payload.of("1")));
-      lab.write(early);
+      cancelledFirst.forEach(id -> early.put(JobTables.cancel(new JobId(id)), Payload.of("1")));
+      simulation.write(early);
       Map<RowKey, Payload> others = new HashMap<>();
       IntStream.range(0, 20_000)
           .forEach(i -> others.put(JobTables.cancel(new JobId("none" + i)), Payload.of("0")));
-      lab.write(others);
-      overtaken.forEach(id -> lab.write(submission(id)));
-      lab.time.run(5_000);
-      assertEquals(lab.starts.size(), 0, "of 40 jobs");
+      simulation.write(others);
+      cancelledFirst.forEach(id -> simulation.write(submission(id)));
+      simulation.time.run(5_000);
+      assertEquals(simulation.starts.size(), 0, "of 40 jobs");
     }
 
-    /** Guards against the end of a job that was submitted after its cancellation was removed. */
+    /**
+     * Guards against a leader that ends a job which was submitted after the row of its cancellation
+     * was removed.
+     */
     @Test
-    public void runsJobsWhoseCancellationIsGone() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
-      lab.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
-      lab.time.run(1_000);
+    public void runsJobsWhoseCancellationWasRemoved() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
+      simulation.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
+      simulation.time.run(1_000);
       Transaction removal =
           new Transaction(Map.of(), Map.of(), List.of(JobTables.cancel(new JobId("a"))));
-      lab.store.seenBy(lab.process, call -> true).commit(removal, 1_000, answer -> {});
-      lab.time.run(500);
-      lab.submit("a");
-      lab.time.run(500);
-      assertEquals(lab.running.size(), 1);
-      lab.time.run(130_000);
-      lab.submit("b");
-      lab.time.run(500);
-      assertEquals(lab.running.size(), 2);
+      simulation
+          .store
+          .seenBy(simulation.process, call -> true)
+          .commit(removal, 1_000, answer -> {});
+      simulation.time.run(500);
+      simulation.submit("a");
+      simulation.time.run(500);
+      assertEquals(simulation.running.size(), 1);
+      simulation.time.run(130_000);
+      simulation.submit("b");
+      simulation.time.run(500);
+      assertEquals(simulation.running.size(), 2);
     }
 
-    /** Guards against a job that starts again since its cancellation was removed before it. */
+    /**
+     * Guards against a job that starts again because its cancellation's row was removed before the
+     * job's row.
+     */
     @Test
-    public void keepsCancellationsUntilTheirJobGoes() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.write(JobTables.cancel(new JobId("a")), "0");
-      lab.time.run(115_000);
-      lab.write(submission("a"));
-      lab.time.run(20_000);
-      assertEquals(lab.store.table(JobTables.CANCELS).keySet(), Set.of("a"));
-      assertEquals(lab.store.table(JobTables.JOBS).keySet(), Set.of("a"));
-      lab.time.run(110_000);
-      assertEquals(lab.store.table(JobTables.CANCELS), Map.of());
-      assertEquals(lab.store.table(JobTables.JOBS), Map.of());
-      assertEquals(lab.starts.size(), 0);
+    public void keepsCancellationsUntilTheirJobIsRemoved() {
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.write(JobTables.cancel(new JobId("a")), "0");
+      simulation.time.run(115_000);
+      simulation.write(submission("a"));
+      simulation.time.run(20_000);
+      assertEquals(simulation.store.table(JobTables.CANCELS).keySet(), Set.of("a"));
+      assertEquals(simulation.store.table(JobTables.JOBS).keySet(), Set.of("a"));
+      simulation.time.run(110_000);
+      assertEquals(simulation.store.table(JobTables.CANCELS), Map.of());
+      assertEquals(simulation.store.table(JobTables.JOBS), Map.of());
+      assertEquals(simulation.starts.size(), 0);
     }
 
-    /** Guards against rows of cancellations without a job that stay since their leader is gone. */
+    /**
+     * Guards against rows of cancellations without a job that are never removed after a change of
+     * the leader.
+     */
     @Test
     public void removesCancellationsWithoutJobs() {
-      LeaderSimulation lab = new LeaderSimulation();
-      lab.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
-      lab.time.run(1_000);
-      lab.restart();
-      lab.time.run(10_000);
-      lab.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
-      lab.time.run(60_000);
-      assertEquals(lab.store.table(JobTables.CANCELS).keySet(), Set.of("a", "b"));
-      lab.time.run(80_000);
-      assertEquals(lab.store.table(JobTables.CANCELS), Map.of());
+      LeaderSimulation simulation = new LeaderSimulation();
+      simulation.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
+      simulation.time.run(1_000);
+      simulation.restart();
+      simulation.time.run(10_000);
+      simulation.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
+      simulation.time.run(60_000);
+      assertEquals(simulation.store.table(JobTables.CANCELS).keySet(), Set.of("a", "b"));
+      simulation.time.run(80_000);
+      assertEquals(simulation.store.table(JobTables.CANCELS), Map.of());
     }
 
     private static boolean startsLate(long lateMillis) {
-      LeaderSimulation lab = new LeaderSimulation();
+      LeaderSimulation simulation = new LeaderSimulation();
       RowKey row = JobTables.job(new JobId("a"));
-      lab.store.lateMillis = lateMillis;
-      lab.store.fate =
+      simulation.store.lateMillis = lateMillis;
+      simulation.store.fate =
           change ->
               change.writes().containsKey(row)
                   ? FakeTableStore.Fate.LATE
                   : FakeTableStore.Fate.GOOD;
-      lab.submit("a");
-      lab.time.run(100);
+      simulation.submit("a");
+      simulation.time.run(100);
       List<Long> acknowledged = new ArrayList<>();
-      lab.entry
+      simulation
+          .entry
           .intake()
           .cancel(
               new JobId("a"),
               OptionalLong.empty(),
-              answer -> acknowledged.add(lab.process.now().mono()));
-      lab.time.run(20_000);
-      long lastMillis = acknowledged.get(0) + CANCEL_MILLIS;
-      return lab.startMillis.stream().anyMatch(at -> at > lastMillis) || !lab.running.isEmpty();
+              answer -> acknowledged.add(simulation.process.now().mono()));
+      simulation.time.run(20_000);
+      long lastStartMillis = acknowledged.get(0) + CANCEL_MILLIS;
+      return simulation.startMillis.stream().anyMatch(at -> at > lastStartMillis)
+          || !simulation.running.isEmpty();
     }
   }
 
-  /** Jobs submitted and cancelled in any order while calls come late, and what they leave. */
-  public static class CancellingInTrouble {
+  /**
+   * Jobs that are submitted and cancelled in any order while store calls are late or lost, and the
+   * rows that remain.
+   */
+  public static class CancellingDuringStoreFaults {
 
     private static final int SEEDS = 10;
     private static final int JOBS = 20;
 
     /**
-     * Guards against work after acknowledged cancellations, and against rows that nobody removes.
+     * Guards against tasks that start after an acknowledged cancellation, and against rows that are
+     * never removed.
      */
     @Test
-    public void endsWorkAndLeavesNoRows() {
+    public void stopsTasksAndLeavesNoRows() {
       List<String> faults =
           IntStream.range(0, SEEDS)
-              .mapToObj(seed -> new Scene(seed).faults())
+              .mapToObj(seed -> new Scenario(seed).faults())
               .filter(found -> !found.isEmpty())
               .toList();
       assertEquals(faults, List.of(), "seeds of " + SEEDS);
     }
 
-    /** The callers of some jobs, each of whom cancels until that is acknowledged. */
-    private static final class Scene {
-      private static final long LONGEST_MILLIS = 20_000;
+    /** The callers of some jobs; each caller repeats its cancellation until it is acknowledged. */
+    private static final class Scenario {
+      private static final long MAX_DELAY_MILLIS = 20_000;
 
-      private final LeaderSimulation lab = new LeaderSimulation();
+      private final LeaderSimulation simulation = new LeaderSimulation();
       private final Random random;
-      private final VirtualTimers.View callers = lab.time.process();
+      private final VirtualTimers.View callers = simulation.time.process();
       private final Map<JobId, Long> acknowledged = new HashMap<>();
 
-      Scene(int seed) {
+      Scenario(int seed) {
         random = new Random(seed);
-        lab.store.fate = this::fate;
+        simulation.store.fate = this::fate;
         IntStream.range(0, JOBS).mapToObj(i -> "job" + i).forEach(this::plan);
       }
 
       private FakeTableStore.Fate fate(Transaction change) {
-        lab.store.lateMillis = 50L + random.nextInt(10_000);
+        simulation.store.lateMillis = 50L + random.nextInt(10_000);
         boolean leading =
             change.writes().keySet().stream().anyMatch(row -> !row.part().startsWith("intake"));
         FakeTableStore.Fate[] fates = FakeTableStore.Fate.values();
@@ -273,15 +317,15 @@
       }
 
       private void plan(String id) {
-        callers.after(random.nextInt(5_000), () -> lab.submit(id));
+        callers.after(random.nextInt(5_000), () -> simulation.submit(id));
         if (random.nextBoolean()) {
-          callers.after(random.nextInt((int) LONGEST_MILLIS), () -> lab.submit(id));
+          callers.after(random.nextInt((int) MAX_DELAY_MILLIS), () -> simulation.submit(id));
         }
-        callers.after(random.nextInt((int) LONGEST_MILLIS), () -> cancel(new JobId(id)));
+        callers.after(random.nextInt((int) MAX_DELAY_MILLIS), () -> cancel(new JobId(id)));
       }
 
       private void cancel(JobId id) {
-        lab.entry.intake().cancel(id, OptionalLong.empty(), answer -> answered(id, answer));
+        simulation.entry.intake().cancel(id, OptionalLong.empty(), answer -> answered(id, answer));
       }
 
       private void answered(JobId id, Intake.Answer answer) {
@@ -293,23 +337,26 @@
       }
 
       String faults() {
-        lab.time.run(10 * LONGEST_MILLIS);
+        simulation.time.run(10 * MAX_DELAY_MILLIS);
         long late =
-            IntStream.range(0, lab.starts.size())
+            IntStream.range(0, simulation.starts.size())
                 .filter(
                     i ->
-                        lab.startMillis.get(i)
-                            > acknowledged.get(lab.starts.get(i).task().job())
+                        simulation.startMillis.get(i)
+                            > acknowledged.get(simulation.starts.get(i).task().job())
                                 + Cancelling.CANCEL_MILLIS)
                 .count();
         List<String> rows =
             Stream.of(JobTables.JOBS, JobTables.CANCELS, JobTables.WAITING)
-                .filter(table -> !lab.store.table(table).isEmpty())
+                .filter(table -> !simulation.store.table(table).isEmpty())
                 .toList();
-        return acknowledged.size() == JOBS && late == 0 && lab.running.isEmpty() && rows.isEmpty()
+        return acknowledged.size() == JOBS
+                && late == 0
+                && simulation.running.isEmpty()
+                && rows.isEmpty()
             ? ""
             : "acknowledged %d, late starts %d, running %s, rows in %s"
-                .formatted(acknowledged.size(), late, lab.running.keySet(), rows);
+                .formatted(acknowledged.size(), late, simulation.running.keySet(), rows);
       }
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
@@ -14,51 +14,59 @@
 import java.util.stream.Stream;
 import org.cottontack.core.peer.Payload;
 
-/** The platform's store in virtual time: versions, conditions, lost and late answers. */
+/** The platform's store in virtual time, with versions, conditions, and lost or late answers. */
 final class FakeTableStore {
 
-  private static final long ANSWER_MILLIS = 10;
+  private static final long RESPONSE_MILLIS = 10;
 
-  /** After which a client gives up on a page, in milliseconds. */
-  private static final long SCAN_PATIENCE_MILLIS = 1_500;
+  /** Client timeout of a read, in milliseconds. */
+  private static final long SCAN_TIMEOUT_MILLIS = 1_500;
 
-  /** After which a client gives up on news, beyond the wait that it asked for, in milliseconds. */
-  private static final long FOLLOW_SLACK_MILLIS = 700;
+  /** Client timeout of a wait for changes beyond the requested waiting time, in milliseconds. */
+  private static final long WATCH_MARGIN_MILLIS = 700;
 
-  /** What becomes of a transaction. */
+  /** How the store treats a transaction. */
   enum Fate {
-    /** It is done and answered. */
+    /** It is carried out and answered. */
     GOOD,
-    /** The store says that it does nothing. */
+    /** The store refuses it and does nothing. */
     REFUSED,
-    /** It is done, and the answer is lost. */
+    /** It is carried out, and the answer is lost. */
     ANSWER_LOST,
-    /** It is done seconds later, if its condition still holds, without an answer. */
+    /**
+     * It is carried out {@link #lateMillis} later if its condition still holds; there is no answer.
+     */
     LATE
   }
 
-  private record Waiting(String table, long after, Consumer<TableStore.Changes> done) {}
+  private record PendingWatch(String table, long after, Consumer<TableStore.Changes> done) {}
 
   private final VirtualTimers.View self;
   private final Map<RowKey, Row> rows = new LinkedHashMap<>();
   private final List<Row> history = new ArrayList<>();
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final List<PendingWatch> pendingWatches = new ArrayList<>();
   private long version = 1;
-  Function<Transaction, Fate> fate = change -> Fate.GOOD;
+  Function<Transaction, Fate> fate = transaction -> Fate.GOOD;
 
-  /** When a late transaction is done, in milliseconds after its call. */
+  /** Delay from the call of a late transaction until it is carried out, in milliseconds. */
   long lateMillis = 3_000;
 
-  /** How long a transaction takes; one partition does one after the other. */
-  long transactionMillis = ANSWER_MILLIS;
+  /**
+   * How long a transaction takes, in milliseconds. A partition carries out one transaction after
+   * the other.
+   */
+  long transactionMillis = RESPONSE_MILLIS;
 
-  private final Map<String, Long> partFreeMillis = new HashMap<>();
+  private final Map<String, Long> partitionFreeMillis = new HashMap<>();
   int transactions;
 
-  /** How long a read takes, and the store to begin to wait for news, in milliseconds. */
-  long readMillis = ANSWER_MILLIS;
+  /**
+   * How long a read takes, and how long the store takes before it starts to wait for changes, in
+   * milliseconds.
+   */
+  long readMillis = RESPONSE_MILLIS;
 
-  /** How long the answer to a call is on its way beyond that, in milliseconds. */
+  /** Extra latency of the answer to a call, in milliseconds. */
   ToLongFunction<String> heldMillis = call -> 0;
 
   FakeTableStore(VirtualTimers time) {
@@ -73,7 +81,10 @@
     return found;
   }
 
-  /** Returns the store as one process reaches it. */
+  /**
+   * Returns the store as seen by one process, which can reach it only for calls that pass the
+   * filter.
+   */
   TableStore seenBy(VirtualTimers.View process, Predicate<String> reachable) {
     return new View(process, reachable);
   }
@@ -89,40 +100,40 @@
     }
 
     @Override
-    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
+    public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
       if (!reachable.test("commit")) {
         process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         return;
       }
-      switch (fate.apply(change)) {
+      switch (fate.apply(transaction)) {
         case GOOD -> {
-          boolean[] told = {false};
+          boolean[] completed = {false};
           Consumer<CommitResult> once =
               answer -> {
-                if (!told[0]) {
-                  told[0] = true;
+                if (!completed[0]) {
+                  completed[0] = true;
                   done.accept(answer);
                 }
               };
           self.after(
-              turnMillis(change),
+              queueDelayMillis(transaction),
               () -> {
-                CommitResult answer = apply(change);
+                CommitResult answer = apply(transaction);
                 process.after(0, () -> once.accept(answer));
               });
           process.after(timeoutMillis, () -> once.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
         case REFUSED ->
-            process.after(ANSWER_MILLIS, () -> done.accept(answer(CommitResult.Outcome.REFUSED)));
+            process.after(RESPONSE_MILLIS, () -> done.accept(answer(CommitResult.Outcome.REFUSED)));
         case ANSWER_LOST -> {
-          self.after(ANSWER_MILLIS, () -> apply(change));
+          self.after(RESPONSE_MILLIS, () -> apply(transaction));
           process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
         case LATE -> {
-          self.after(lateMillis, () -> apply(change));
+          self.after(lateMillis, () -> apply(transaction));
           process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
         }
-        default -> throw new IllegalStateException("no such fate");
+        default -> throw new IllegalStateException("unknown fate");
       }
     }
 
@@ -136,10 +147,12 @@
         process.after(1_000, () -> done.accept(Scan.FAILED));
         return;
       }
-      long latest = self.now().mono() + SCAN_PATIENCE_MILLIS;
+      long deadlineMillis = self.now().mono() + SCAN_TIMEOUT_MILLIS;
       self.after(
           readMillis,
-          () -> deliver("scan " + table, latest, read(table, part, prefix), Scan.FAILED, done));
+          () ->
+              deliver(
+                  "scan " + table, deadlineMillis, read(table, part, prefix), Scan.FAILED, done));
     }
 
     private Scan read(String table, String part, String prefix) {
@@ -154,70 +167,79 @@
           clock());
     }
 
-    /** Brings an answer to the process, or none when that gives up first. */
-    private <T> void deliver(String call, long latest, T answer, T none, Consumer<T> done) {
+    /**
+     * Delivers an answer to the process, or the timeout result if the answer would arrive too late.
+     */
+    private <T> void deliver(String call, long deadlineMillis, T answer, T none, Consumer<T> done) {
       long now = self.now().mono();
-      long held = heldMillis.applyAsLong(call);
-      boolean lost = now + held > latest;
+      long delayMillis = heldMillis.applyAsLong(call);
+      boolean lost = now + delayMillis > deadlineMillis;
       process.after(
-          lost ? Math.max(0, latest - now) : held, () -> done.accept(lost ? none : answer));
+          lost ? Math.max(0, deadlineMillis - now) : delayMillis,
+          () -> done.accept(lost ? none : answer));
     }
 
     @Override
     public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {
       if (!reachable.test("follow " + table)) {
         process.after(
-            waitMillis + FOLLOW_SLACK_MILLIS,
+            waitMillis + WATCH_MARGIN_MILLIS,
             () -> done.accept(Changes.of(Changes.Outcome.FAILED)));
         return;
       }
-      long latest = self.now().mono() + waitMillis + FOLLOW_SLACK_MILLIS;
-      boolean[] told = {false};
+      long deadlineMillis = self.now().mono() + waitMillis + WATCH_MARGIN_MILLIS;
+      boolean[] completed = {false};
       Consumer<Changes> once =
-          news -> {
-            if (!told[0]) {
-              told[0] = true;
-              deliver("follow " + table, latest, news, Changes.of(Changes.Outcome.FAILED), done);
+          changes -> {
+            if (!completed[0]) {
+              completed[0] = true;
+              deliver(
+                  "follow " + table,
+                  deadlineMillis,
+                  changes,
+                  Changes.of(Changes.Outcome.FAILED),
+                  done);
             }
           };
-      Waiting wait = new Waiting(table, after, once);
-      if (readMillis > ANSWER_MILLIS) {
-        self.after(readMillis, () -> await(wait, waitMillis));
+      PendingWatch watch = new PendingWatch(table, after, once);
+      if (readMillis > RESPONSE_MILLIS) {
+        self.after(readMillis, () -> await(watch, waitMillis));
       } else {
-        await(wait, waitMillis);
+        await(watch, waitMillis);
       }
     }
 
-    private void await(Waiting wait, long waitMillis) {
-      waiting.add(wait);
-      tell(wait);
+    private void await(PendingWatch watch, long waitMillis) {
+      pendingWatches.add(watch);
+      deliverChanges(watch);
       self.after(
           waitMillis,
           () -> {
-            waiting.remove(wait);
-            wait.done().accept(new Changes(Changes.Outcome.CURRENT, List.of(), version));
+            pendingWatches.remove(watch);
+            watch.done().accept(new Changes(Changes.Outcome.CURRENT, List.of(), version));
           });
     }
   }
 
-  private long turnMillis(Transaction change) {
+  private long queueDelayMillis(Transaction transaction) {
     transactions++;
     String part =
-        Stream.concat(change.writes().keySet().stream(), change.removals().stream())
+        Stream.concat(transaction.writes().keySet().stream(), transaction.removals().stream())
             .map(RowKey::part)
             .findFirst()
             .orElse("");
     long now = self.now().mono();
-    long end = Math.max(now, partFreeMillis.getOrDefault(part, 0L)) + transactionMillis;
-    partFreeMillis.put(part, end);
+    long end = Math.max(now, partitionFreeMillis.getOrDefault(part, 0L)) + transactionMillis;
+    partitionFreeMillis.put(part, end);
     return end - now;
   }
 
-  private CommitResult apply(Transaction change) {
+  private CommitResult apply(Transaction transaction) {
     boolean holds =
-        change.expected().entrySet().stream().allMatch(e -> versionOf(e.getKey()) == e.getValue());
+        transaction.expected().entrySet().stream()
+            .allMatch(e -> versionOf(e.getKey()) == e.getValue());
     if (!holds) {
-      List<Row> current = change.expected().keySet().stream().map(rows::get).toList();
+      List<Row> current = transaction.expected().keySet().stream().map(rows::get).toList();
       return new CommitResult(
           CommitResult.Outcome.CONFLICT,
           0,
@@ -225,13 +247,13 @@
           clock());
     }
     version++;
-    change.writes().forEach((at, value) -> put(new Row(at, value, version, false)));
-    change.removals().forEach(at -> put(new Row(at, Payload.EMPTY, version, true)));
-    List.copyOf(waiting).forEach(this::tell);
+    transaction.writes().forEach((at, value) -> put(new Row(at, value, version, false)));
+    transaction.removals().forEach(at -> put(new Row(at, Payload.EMPTY, version, true)));
+    List.copyOf(pendingWatches).forEach(this::deliverChanges);
     return new CommitResult(CommitResult.Outcome.DONE, version, List.of(), clock());
   }
 
-  /** The store's own steady clock: it began long before the instances. */
+  /** Returns the store's own monotonic clock, which started long before the instances. */
   private long clock() {
     return 7_000_000 + self.now().mono();
   }
@@ -250,14 +272,16 @@
     }
   }
 
-  private void tell(Waiting wait) {
-    List<Row> news =
+  private void deliverChanges(PendingWatch watch) {
+    List<Row> changes =
         history.stream()
-            .filter(row -> row.at().table().equals(wait.table()) && row.version() > wait.after())
+            .filter(row -> row.at().table().equals(watch.table()) && row.version() > watch.after())
             .toList();
-    if (!news.isEmpty()) {
-      waiting.remove(wait);
-      wait.done().accept(new TableStore.Changes(TableStore.Changes.Outcome.CURRENT, news, version));
+    if (!changes.isEmpty()) {
+      pendingWatches.remove(watch);
+      watch
+          .done()
+          .accept(new TableStore.Changes(TableStore.Changes.Outcome.CURRENT, changes, version));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/HangupSignalTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/HangupSignalTest.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Tests of the signal that says that the settings have changed. */
+/** Tests of the handler for the signal that announces changed settings. */
 public class HangupSignalTest {
 
   /** The signal's effect on the process. */
   public static class Handling {
 
     /**
-     * The platform changes the settings file and sends the signal. A process without a handler
-     * would end here, and its callers' connections with it.
+     * The platform changes the settings file and sends the signal. Without a handler, the signal
+     * would end the process and close its callers' connections.
      */
     @Test
     public void runsTheActionInsteadOfEndingTheProcess() throws Exception {
@@ -26,11 +26,11 @@
       long pid = ProcessHandle.current().pid();
       int exit = new ProcessBuilder("kill", "-HUP", Long.toString(pid)).start().waitFor();
       assertEquals(exit, 0);
-      boolean ignored = ignoredFromTheStart();
+      boolean ignored = ignoredAtStartup();
       assertEquals(called.await(ignored ? 1 : 60, TimeUnit.SECONDS), !ignored);
     }
 
-    private static boolean ignoredFromTheStart() throws IOException {
+    private static boolean ignoredAtStartup() throws IOException {
       String mask =
           Files.readAllLines(Path.of("/proc/self/status")).stream()
               .filter(line -> line.startsWith("SigIgn:"))
--- a/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
@@ -15,9 +15,7 @@
 import org.cottontack.core.peer.Payload;
 import org.testng.annotations.Test;
 
-/**
- * Tests of taking jobs in: what a caller is told is true, whatever becomes of the store's answers.
- */
+/** Tests that the answers to callers are correct, whatever happens to the store's answers. */
 public class IntakeTest {
 
   private static final JobId ID = new JobId("5c0e7a21d94b36f8");
@@ -31,7 +29,7 @@
     return new JobEntry(TestJobs.INSTANCE, 120_000, watched, timers, null, null, null).intake();
   }
 
-  private static final class Lab {
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final FakeTableStore store = new FakeTableStore(time);
     final List<Intake.Answer> answers = new ArrayList<>();
@@ -51,105 +49,108 @@
 
     @Test
     public void storesTheJobAndCountsItAsWaiting() {
-      Lab lab = new Lab();
-      Intake intake = lab.instance();
-      lab.submit(intake);
-      lab.time.run(100);
-      assertEquals(lab.answers, List.of(Intake.Answer.STORED));
-      assertEquals(lab.store.table(JobTables.JOBS).keySet(), Set.of(ID.value()));
+      Simulation simulation = new Simulation();
+      Intake intake = simulation.instance();
+      simulation.submit(intake);
+      simulation.time.run(100);
+      assertEquals(simulation.answers, List.of(Intake.Answer.STORED));
+      assertEquals(simulation.store.table(JobTables.JOBS).keySet(), Set.of(ID.value()));
       List<OptionalLong> counts = new ArrayList<>();
       intake.waiting("queue", counts::add);
-      lab.time.run(200);
+      simulation.time.run(200);
       assertEquals(counts, List.of(OptionalLong.of(1)));
     }
 
     /**
-     * One submission reaches two instances at the same moment. Both tell their callers that it is
-     * accepted; it is stored once, since its row follows from its identifier.
+     * The same submission reaches two instances at the same moment. Both accept it, but it is
+     * stored only once, because the key of its row depends only on its identifier.
      */
     @Test
     public void storesOneJobFromTwoInstances() {
-      Lab lab = new Lab();
-      lab.submit(lab.instance());
-      lab.submit(lab.instance());
-      lab.time.run(100);
-      assertEquals(lab.answers, List.of(Intake.Answer.STORED, Intake.Answer.STORED));
-      assertEquals(lab.store.table(JobTables.JOBS).size(), 1);
+      Simulation simulation = new Simulation();
+      simulation.submit(simulation.instance());
+      simulation.submit(simulation.instance());
+      simulation.time.run(100);
+      assertEquals(simulation.answers, List.of(Intake.Answer.STORED, Intake.Answer.STORED));
+      assertEquals(simulation.store.table(JobTables.JOBS).size(), 1);
     }
 
     /**
-     * The write is done and its answer lost. The repeated write finds the row there, which says
-     * that the job is stored; the caller is told so.
+     * The write is carried out and its answer is lost. The repeated write finds the row, which
+     * shows that the job is stored, so the caller must be told that it is stored.
      */
     @Test
-    public void tellsTheTruthWhenTheAnswerIsLost() {
-      Lab lab = new Lab();
+    public void reportsStoredWhenTheResponseIsLost() {
+      Simulation simulation = new Simulation();
       boolean[] first = {true};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             FakeTableStore.Fate fate =
                 first[0] ? FakeTableStore.Fate.ANSWER_LOST : FakeTableStore.Fate.GOOD;
             first[0] = false;
             return fate;
           };
-      lab.submit(lab.instance());
-      lab.time.run(1_000);
-      assertEquals(lab.answers, List.of(Intake.Answer.STORED));
+      simulation.submit(simulation.instance());
+      simulation.time.run(1_000);
+      assertEquals(simulation.answers, List.of(Intake.Answer.STORED));
     }
 
-    /** The store refuses each call. The caller is told at once, and nothing is stored later. */
+    /**
+     * The store refuses every call. The caller must be rejected soon, and nothing may be stored
+     * later.
+     */
     @Test
     public void rejectsSoonWhenTheStoreRefuses() {
-      Lab lab = new Lab();
-      lab.store.fate = change -> FakeTableStore.Fate.REFUSED;
-      lab.submit(lab.instance());
-      lab.time.run(400);
-      assertEquals(lab.answers, List.of(Intake.Answer.REJECTED));
-      lab.time.run(5_000);
-      assertTrue(lab.store.table(JobTables.JOBS).isEmpty());
+      Simulation simulation = new Simulation();
+      simulation.store.fate = change -> FakeTableStore.Fate.REFUSED;
+      simulation.submit(simulation.instance());
+      simulation.time.run(400);
+      assertEquals(simulation.answers, List.of(Intake.Answer.REJECTED));
+      simulation.time.run(5_000);
+      assertTrue(simulation.store.table(JobTables.JOBS).isEmpty());
     }
 
     /**
-     * A first write gets no answer and happens seconds later; all others are refused. Saying "not
-     * accepted" would be false, since the job will run: the caller is told that it is not known.
+     * The first write gets no answer and is carried out seconds later; all others are refused. A
+     * rejection would be wrong, because the job will run: the answer must be "unknown".
      */
     @Test
     public void neverRejectsWhatMayStillBeStored() {
-      Lab lab = new Lab();
+      Simulation simulation = new Simulation();
       boolean[] first = {true};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             FakeTableStore.Fate fate =
                 first[0] ? FakeTableStore.Fate.LATE : FakeTableStore.Fate.REFUSED;
             first[0] = false;
             return fate;
           };
-      lab.submit(lab.instance());
-      lab.time.run(5_000);
-      assertEquals(lab.answers, List.of(Intake.Answer.UNKNOWN));
-      assertEquals(lab.store.table(JobTables.JOBS).size(), 1);
+      simulation.submit(simulation.instance());
+      simulation.time.run(5_000);
+      assertEquals(simulation.answers, List.of(Intake.Answer.UNKNOWN));
+      assertEquals(simulation.store.table(JobTables.JOBS).size(), 1);
     }
   }
 
-  /** Submissions while the store is out of reach or slow, each 100 ms. */
+  /** Submissions at intervals of 100 ms while the store is unreachable or slow. */
   public static class Submitting100MillisApart {
 
-    private static final long CALLERS_MILLIS = 3_000;
+    private static final long TIMEOUT_MILLIS = 3_000;
 
-    /** What one caller got, and when. */
-    private record Told(long askedMillis, long afterMillis, Intake.Answer answer) {}
+    /** The answer that one caller received, and when. */
+    private record Result(long submittedMillis, long latencyMillis, Intake.Answer answer) {}
 
     private static final class Callers {
-      final Lab lab = new Lab();
-      final VirtualTimers.View process = lab.time.process();
-      final List<Told> told = new ArrayList<>();
+      final Simulation simulation = new Simulation();
+      final VirtualTimers.View process = simulation.time.process();
+      final List<Result> results = new ArrayList<>();
       private final WatchedStore store;
       private final Intake intake;
-      private int callers;
-      boolean cut;
+      private int count;
+      boolean disconnected;
 
       Callers() {
-        store = new WatchedStore(lab.store.seenBy(process, call -> !cut), process);
+        store = new WatchedStore(simulation.store.seenBy(process, call -> !disconnected), process);
         intake =
             new JobEntry(TestJobs.INSTANCE, 120_000, store, process, null, null, null).intake();
         new TableWatcher(store, process, "op", List.of(""), row -> {}, () -> {}).start();
@@ -157,48 +158,53 @@
 
       void run(long millis) {
         for (long at = 0; at < millis; at += 100) {
-          long asked = lab.time.process().now().mono();
-          callers++;
+          long submittedMillis = simulation.time.process().now().mono();
+          count++;
           intake.submit(
-              TestJobs.job(new JobId(String.format("%016x", callers)), 2),
-              OptionalLong.of(CALLERS_MILLIS),
-              answer -> told.add(new Told(asked, process.now().mono() - asked, answer)));
-          lab.time.run(100);
+              TestJobs.job(new JobId(String.format("%016x", count)), 2),
+              OptionalLong.of(TIMEOUT_MILLIS),
+              answer ->
+                  results.add(
+                      new Result(submittedMillis, process.now().mono() - submittedMillis, answer)));
+          simulation.time.run(100);
         }
       }
 
-      List<Told> askedAfter(long millis) {
-        return told.stream().filter(t -> t.askedMillis() >= millis).toList();
+      List<Result> submittedAfter(long millis) {
+        return results.stream().filter(result -> result.submittedMillis() >= millis).toList();
       }
     }
 
     /**
-     * An instance is cut off from the store while callers go on to come. The first of them are told
-     * within a second that it is not known, the later ones at once that it is not stored: all have
-     * most of their time left to try elsewhere. Held until their time was up, they had none.
+     * An instance loses its connection to the store while callers keep arriving. The first callers
+     * must receive "unknown" within a second, and later ones an immediate rejection, so that all of
+     * them have most of their timeout left to try another instance. Callers that waited until their
+     * timeout could not try another instance.
      */
     @Test
-    public void leavesCallersTheirTimeWhileCutOff() {
+    public void answersEarlyWhileDisconnected() {
       Callers callers = new Callers();
       callers.run(1_000);
-      callers.cut = true;
-      long cutMillis = callers.process.now().mono();
+      callers.disconnected = true;
+      long disconnectedMillis = callers.process.now().mono();
       callers.run(12_000);
-      List<Told> told = callers.askedAfter(cutMillis);
-      assertEquals(told.size(), 120);
-      assertTrue(told.stream().allMatch(t -> t.afterMillis() <= 1_000));
+      List<Result> results = callers.submittedAfter(disconnectedMillis);
+      assertEquals(results.size(), 120);
+      assertTrue(results.stream().allMatch(result -> result.latencyMillis() <= 1_000));
       assertTrue(
-          callers.askedAfter(cutMillis + 900).stream()
-              .allMatch(t -> t.answer() == Intake.Answer.REJECTED && t.afterMillis() < 100));
-      assertTrue(told.stream().noneMatch(t -> t.answer() == Intake.Answer.STORED));
+          callers.submittedAfter(disconnectedMillis + 900).stream()
+              .allMatch(
+                  result ->
+                      result.answer() == Intake.Answer.REJECTED && result.latencyMillis() < 100));
+      assertTrue(results.stream().noneMatch(result -> result.answer() == Intake.Answer.STORED));
     }
 
     /**
-     * The process is paused for 5 s, or gets next to no processor time, and the store's answers lie
-     * unread. Callers who come then are served: it is not the store that was silent.
+     * The process is paused for 5 s, or gets almost no processor time, and has not read the store's
+     * answers. Callers that arrive afterwards must be served, because the store was not silent.
      */
     @Test
-    public void takesJobsInAfterPause() {
+    public void acceptsJobsAfterPause() {
       Callers callers = new Callers();
       callers.run(1_000);
       callers.process.lateMillis = 5_000;
@@ -206,197 +212,218 @@
       callers.process.lateMillis = 0;
       long resumedMillis = callers.process.now().mono();
       callers.run(2_000);
-      callers.lab.time.run(10_000);
+      callers.simulation.time.run(10_000);
       assertTrue(
-          callers.askedAfter(resumedMillis).stream()
-              .allMatch(t -> t.answer() == Intake.Answer.STORED));
+          callers.submittedAfter(resumedMillis).stream()
+              .allMatch(result -> result.answer() == Intake.Answer.STORED));
     }
 
-    /** What was turned away while the instance was cut off has not been stored, then or later. */
+    /**
+     * A job that was rejected while the instance was disconnected must not be stored, neither then
+     * nor later.
+     */
     @Test
-    public void storesNothingThatItTurnedAway() {
+    public void storesNothingThatWasRejected() {
       Callers callers = new Callers();
-      callers.cut = true;
+      callers.disconnected = true;
       callers.run(3_000);
-      callers.cut = false;
-      callers.lab.time.run(10_000);
-      assertTrue(callers.lab.store.table(JobTables.JOBS).isEmpty());
+      callers.disconnected = false;
+      callers.simulation.time.run(10_000);
+      assertTrue(callers.simulation.store.table(JobTables.JOBS).isEmpty());
     }
 
-    /** The cut ends: callers are served again within two waits for news. */
+    /**
+     * After the connection is restored, callers must be served again within the duration of two
+     * waits for changes.
+     */
     @Test
-    public void takesJobsInSoonAfterTheCut() {
+    public void acceptsJobsSoonAfterReconnecting() {
       Callers callers = new Callers();
-      callers.cut = true;
+      callers.disconnected = true;
       callers.run(5_000);
-      callers.cut = false;
+      callers.disconnected = false;
       callers.run(4_000);
       long lastSecond = callers.process.now().mono() - 1_000;
       assertTrue(
-          callers.askedAfter(lastSecond).stream()
-              .allMatch(t -> t.answer() == Intake.Answer.STORED));
+          callers.submittedAfter(lastSecond).stream()
+              .allMatch(result -> result.answer() == Intake.Answer.STORED));
     }
 
     /**
-     * The store becomes 50 times slower: a partition does two transactions a second, and each
-     * caller's is done within its time if none is sent twice. Copies of calls that were only late
-     * would take the turns of others, and callers of a partition with a queue would go unserved.
+     * The store becomes 50 times slower: a partition carries out two transactions per second, and
+     * each caller is served in time only if no transaction is sent twice. Repeated sends of
+     * transactions that are merely late would delay those of other callers, and callers of a
+     * partition with a queue would not be served.
      */
     @Test
-    public void asksSlowStoresOnce() {
+    public void sendsOnceToSlowStores() {
       Callers callers = new Callers();
       callers.run(1_000);
-      callers.lab.store.transactionMillis = 500;
-      final int before = callers.lab.store.transactions;
+      callers.simulation.store.transactionMillis = 500;
+      final int before = callers.simulation.store.transactions;
       for (int caller = 0; caller < 20; caller++) {
         callers.run(100);
-        callers.lab.time.run(400);
+        callers.simulation.time.run(400);
       }
-      callers.lab.time.run(4_000);
-      assertEquals(callers.told.size(), 30);
-      assertTrue(callers.told.stream().allMatch(t -> t.answer() == Intake.Answer.STORED));
-      assertTrue(callers.lab.store.transactions - before <= 24);
+      callers.simulation.time.run(4_000);
+      assertEquals(callers.results.size(), 30);
+      assertTrue(
+          callers.results.stream().allMatch(result -> result.answer() == Intake.Answer.STORED));
+      assertTrue(callers.simulation.store.transactions - before <= 24);
     }
   }
 
   /** States and cancellations. */
-  public static class Asking {
+  public static class StatesAndCancellations {
 
     @Test
-    public void deniesOnlyWhatIsNotStored() {
-      Lab lab = new Lab();
-      Intake intake = lab.instance();
+    public void reportsAbsentOnlyWhatIsNotStored() {
+      Simulation simulation = new Simulation();
+      Intake intake = simulation.instance();
       List<Intake.State> states = new ArrayList<>();
       intake.state(ID, states::add);
-      lab.time.run(100);
-      lab.submit(intake);
-      lab.time.run(100);
-      lab.instance().state(ID, states::add);
-      lab.time.run(100);
+      simulation.time.run(100);
+      simulation.submit(intake);
+      simulation.time.run(100);
+      simulation.instance().state(ID, states::add);
+      simulation.time.run(100);
       assertEquals(states.get(0), new Intake.State(true, Optional.empty()));
       assertEquals(states.get(1), new Intake.State(true, Optional.of(JobPhase.QUEUED)));
     }
 
     /**
-     * A job's progress is damaged. Its caller is told at once that the state is not known, and the
-     * job is not denied; without an answer the caller would wait for nothing.
+     * The stored progress of a job is damaged. The caller must be told at once that the state is
+     * unknown, and must not be told that the job does not exist. Without an answer the caller would
+     * wait until its timeout.
      */
     @Test
-    public void answersBesideProgressThatItCannotRead() {
-      Lab lab = new Lab();
-      VirtualTimers.View process = lab.time.process();
+    public void reportsUnknownForUnreadableProgress() {
+      Simulation simulation = new Simulation();
+      VirtualTimers.View process = simulation.time.process();
       Transaction change =
           new Transaction(Map.of(), Map.of(JobTables.progress(ID), Payload.of("?")), List.of());
-      lab.store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
-      lab.time.run(100);
+      simulation.store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
+      simulation.time.run(100);
       List<Intake.State> states = new ArrayList<>();
-      lab.instance().state(ID, states::add);
-      lab.time.run(100);
+      simulation.instance().state(ID, states::add);
+      simulation.time.run(100);
       assertEquals(states, List.of(new Intake.State(false, Optional.empty())));
     }
 
     /**
-     * The store does not answer. An instance that denied a job then would lose it for its caller.
+     * The store does not answer. If an instance reported then that a job does not exist, its caller
+     * would treat the job as lost.
      */
     @Test
-    public void deniesNothingWithoutTheStore() {
-      Lab lab = new Lab();
-      VirtualTimers.View process = lab.time.process();
-      Intake cut = intake(lab.store.seenBy(process, call -> false), process);
+    public void reportsUnknownWithoutTheStore() {
+      Simulation simulation = new Simulation();
+      VirtualTimers.View process = simulation.time.process();
+      Intake disconnected = intake(simulation.store.seenBy(process, call -> false), process);
       List<Intake.State> states = new ArrayList<>();
-      cut.state(ID, states::add);
-      lab.time.run(5_000);
+      disconnected.state(ID, states::add);
+      simulation.time.run(5_000);
       assertEquals(states, List.of(new Intake.State(false, Optional.empty())));
     }
 
-    /** Guards against a cancellation that is acknowledged for nothing. */
+    /** Guards against reporting a cancellation as stored when there is no job to cancel. */
     @Test
-    public void cancelsOnlyWhatIsThere() {
-      Lab lab = new Lab();
-      Intake intake = lab.instance();
-      intake.cancel(new JobId("never"), OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(100);
-      lab.submit(intake);
-      lab.time.run(100);
-      intake.cancel(ID, OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(100);
+    public void reportsAbsentForCancellationsWithoutJob() {
+      Simulation simulation = new Simulation();
+      Intake intake = simulation.instance();
+      intake.cancel(new JobId("never"), OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(100);
+      simulation.submit(intake);
+      simulation.time.run(100);
+      intake.cancel(ID, OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(100);
       assertEquals(
-          lab.answers, List.of(Intake.Answer.ABSENT, Intake.Answer.STORED, Intake.Answer.STORED));
-      assertEquals(lab.store.table(JobTables.CANCELS), Map.of("never", "0", ID.value(), "1"));
+          simulation.answers,
+          List.of(Intake.Answer.ABSENT, Intake.Answer.STORED, Intake.Answer.STORED));
+      assertEquals(
+          simulation.store.table(JobTables.CANCELS), Map.of("never", "0", ID.value(), "1"));
     }
 
-    /** Guards against a job that is stored and runs although its caller was told that it is not. */
+    /**
+     * Guards against a job that is stored and runs although its caller was told that there is no
+     * such job.
+     */
     @Test
-    public void refusesWhatWasCancelledBeforeItCame() {
-      Lab lab = new Lab();
-      Intake intake = lab.instance();
-      intake.cancel(ID, OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(100);
-      lab.submit(lab.instance());
-      lab.time.run(100);
-      assertEquals(lab.answers, List.of(Intake.Answer.ABSENT, Intake.Answer.CANCELLED));
-      assertTrue(lab.store.table(JobTables.JOBS).isEmpty());
-      assertTrue(lab.store.table(JobTables.WAITING).isEmpty());
+    public void rejectsSubmissionsAfterTheirCancellation() {
+      Simulation simulation = new Simulation();
+      Intake intake = simulation.instance();
+      intake.cancel(ID, OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(100);
+      simulation.submit(simulation.instance());
+      simulation.time.run(100);
+      assertEquals(simulation.answers, List.of(Intake.Answer.ABSENT, Intake.Answer.CANCELLED));
+      assertTrue(simulation.store.table(JobTables.JOBS).isEmpty());
+      assertTrue(simulation.store.table(JobTables.WAITING).isEmpty());
       List<Intake.State> states = new ArrayList<>();
       intake.state(ID, states::add);
-      lab.time.run(100);
+      simulation.time.run(100);
       assertEquals(states, List.of(new Intake.State(true, Optional.empty())));
     }
 
-    /** Guards against a refusal of a job that was accepted before it was cancelled. */
+    /**
+     * Guards against rejecting a resubmission of a job that was accepted before it was cancelled.
+     */
     @Test
-    public void tellsLateCopiesOfCancelledJobsThatTheyAreStored() {
-      Lab lab = new Lab();
-      lab.submit(lab.instance());
-      lab.time.run(100);
-      lab.instance().cancel(ID, OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(100);
-      lab.submit(lab.instance());
-      lab.time.run(100);
+    public void reportsStoredForResubmissionsOfCancelledJobs() {
+      Simulation simulation = new Simulation();
+      simulation.submit(simulation.instance());
+      simulation.time.run(100);
+      simulation.instance().cancel(ID, OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(100);
+      simulation.submit(simulation.instance());
+      simulation.time.run(100);
       assertEquals(
-          lab.answers, List.of(Intake.Answer.STORED, Intake.Answer.STORED, Intake.Answer.STORED));
+          simulation.answers,
+          List.of(Intake.Answer.STORED, Intake.Answer.STORED, Intake.Answer.STORED));
     }
 
-    /** Guards against a late copy of a cancellation that writes a row which nobody removes. */
+    /**
+     * Guards against a late cancellation that writes a row after its job was removed, because that
+     * row would never be removed.
+     */
     @Test
-    public void leavesNoCancellationOfJobsThatWereRemoved() {
-      Lab lab = new Lab();
-      lab.submit(lab.instance());
-      lab.time.run(100);
-      lab.store.fate =
+    public void writesNoLateCancellationOfRemovedJobs() {
+      Simulation simulation = new Simulation();
+      simulation.submit(simulation.instance());
+      simulation.time.run(100);
+      simulation.store.fate =
           change ->
               change.writes().containsKey(JobTables.cancel(ID))
                   ? FakeTableStore.Fate.LATE
                   : FakeTableStore.Fate.GOOD;
-      lab.instance().cancel(ID, OptionalLong.of(500), lab.answers::add);
-      lab.time.run(1_000);
-      VirtualTimers.View process = lab.time.process();
+      simulation.instance().cancel(ID, OptionalLong.of(500), simulation.answers::add);
+      simulation.time.run(1_000);
+      VirtualTimers.View process = simulation.time.process();
       Transaction removal = new Transaction(Map.of(), Map.of(), List.of(JobTables.job(ID)));
-      lab.store.seenBy(process, call -> true).commit(removal, 1_000, answer -> {});
-      lab.time.run(10_000);
-      assertEquals(lab.answers.get(1), Intake.Answer.UNKNOWN);
-      assertTrue(lab.store.table(JobTables.CANCELS).isEmpty());
+      simulation.store.seenBy(process, call -> true).commit(removal, 1_000, answer -> {});
+      simulation.time.run(10_000);
+      assertEquals(simulation.answers.get(1), Intake.Answer.UNKNOWN);
+      assertTrue(simulation.store.table(JobTables.CANCELS).isEmpty());
     }
 
-    /** Guards against calls to the store that a cancellation does not need: each has its price. */
+    /** Guards against unnecessary store calls for a cancellation, because each call is costly. */
     @Test
     public void cancelsWithOneReadAndOneTransaction() {
-      Lab lab = new Lab();
+      Simulation simulation = new Simulation();
       List<String> calls = new ArrayList<>();
-      VirtualTimers.View process = lab.time.process();
-      Intake intake = intake(lab.store.seenBy(process, calls::add), process);
+      VirtualTimers.View process = simulation.time.process();
+      Intake intake = intake(simulation.store.seenBy(process, calls::add), process);
       List<String> expected = List.of("scan " + JobTables.JOBS, "commit");
-      intake.cancel(ID, OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(1_000);
+      intake.cancel(ID, OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(1_000);
       assertEquals(calls, expected);
       JobId stored = new JobId("stored");
-      lab.instance().submit(TestJobs.job(stored, 1), OptionalLong.empty(), answer -> {});
-      lab.time.run(100);
+      simulation.instance().submit(TestJobs.job(stored, 1), OptionalLong.empty(), answer -> {});
+      simulation.time.run(100);
       calls.clear();
-      intake.cancel(stored, OptionalLong.of(3_000), lab.answers::add);
-      lab.time.run(1_000);
+      intake.cancel(stored, OptionalLong.of(3_000), simulation.answers::add);
+      simulation.time.run(1_000);
       assertEquals(calls, expected);
-      assertEquals(lab.answers, List.of(Intake.Answer.ABSENT, Intake.Answer.STORED));
+      assertEquals(simulation.answers, List.of(Intake.Answer.ABSENT, Intake.Answer.STORED));
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateSubmissionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateSubmissionTest.java
@@ -14,8 +14,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests of cancellations that reach the store before their submission does: what callers are told
- * of either holds, in whatever order the store carries them out.
+ * Tests of cancellations that the store carries out before the submission of their job. The answers
+ * to both callers must be true in whichever order the store carries out the calls.
  */
 public class LateSubmissionTest {
 
@@ -24,8 +24,8 @@
   private static final Set<Intake.Answer> ACKNOWLEDGED =
       Set.of(Intake.Answer.STORED, Intake.Answer.ABSENT);
 
-  /** One job's callers at several instances. */
-  private static final class World {
+  /** The callers of one job, at several instances. */
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final FakeTableStore store = new FakeTableStore(time);
     final VirtualTimers.View callers = time.process();
@@ -44,7 +44,7 @@
           millis, () -> intake.submit(TestJobs.job(ID, 2), OptionalLong.of(2_950), submitted::add));
     }
 
-    /** Cancels, and again at another instance while that is not acknowledged. */
+    /** Cancels the job, and again at another instance until the cancellation is acknowledged. */
     void cancelAfter(long millis) {
       Intake intake = instance();
       callers.after(millis, () -> intake.cancel(ID, OptionalLong.of(2_950), this::answered));
@@ -57,74 +57,79 @@
       }
     }
 
-    /** Returns what does not hold of the answers. */
+    /** Returns the contradiction between the answers and the stored rows, if there is one. */
     Optional<String> fault() {
       boolean stored = store.table(JobTables.JOBS).containsKey(ID.value());
-      boolean open = stored && !"1".equals(store.table(JobTables.CANCELS).get(ID.value()));
-      String told = "submitted %s, cancelled %s".formatted(submitted, cancelled);
-      if (open && cancelled.stream().anyMatch(ACKNOWLEDGED::contains)) {
-        return Optional.of("cancelled and open: " + told);
+      boolean notCancelled = stored && !"1".equals(store.table(JobTables.CANCELS).get(ID.value()));
+      String answers = "submitted %s, cancelled %s".formatted(submitted, cancelled);
+      if (notCancelled && cancelled.stream().anyMatch(ACKNOWLEDGED::contains)) {
+        return Optional.of("cancelled and open: " + answers);
       }
       if (!stored && submitted.contains(Intake.Answer.STORED)) {
-        return Optional.of("accepted and not stored: " + told);
+        return Optional.of("accepted and not stored: " + answers);
       }
-      boolean maybe =
+      boolean possiblyAccepted =
           submitted.contains(Intake.Answer.STORED) || submitted.contains(Intake.Answer.UNKNOWN);
-      return stored && !maybe ? Optional.of("rejected and stored: " + told) : Optional.empty();
+      return stored && !possiblyAccepted
+          ? Optional.of("rejected and stored: " + answers)
+          : Optional.empty();
     }
   }
 
-  private static void holdsInAll(int cases, BiConsumer<World, Integer> scene) {
+  private static void assertConsistentInAll(int cases, BiConsumer<Simulation, Integer> scenario) {
     List<String> faults =
-        IntStream.range(0, cases).mapToObj(number -> faultOf(scene, number)).toList();
+        IntStream.range(0, cases).mapToObj(number -> faultOf(scenario, number)).toList();
     List<String> found = faults.stream().filter(fault -> !fault.isEmpty()).toList();
-    String some = String.join("; ", found.subList(0, Math.min(3, found.size())));
-    assertEquals(found.size(), 0, "%d of %d: %s".formatted(found.size(), cases, some));
+    String examples = String.join("; ", found.subList(0, Math.min(3, found.size())));
+    assertEquals(found.size(), 0, "%d of %d: %s".formatted(found.size(), cases, examples));
   }
 
-  private static String faultOf(BiConsumer<World, Integer> scene, int number) {
-    World world = new World();
-    scene.accept(world, number);
-    world.time.run(60_000);
-    return world.fault().map(fault -> number + " " + fault).orElse("");
+  private static String faultOf(BiConsumer<Simulation, Integer> scenario, int number) {
+    Simulation simulation = new Simulation();
+    scenario.accept(simulation, number);
+    simulation.time.run(60_000);
+    return simulation.fault().map(fault -> number + " " + fault).orElse("");
   }
 
   /** Calls that the store carries out late, loses or refuses. */
   public static class CarriedOutLate {
 
-    /** Guards against a job that runs on after its caller was told that there is none. */
+    /**
+     * Guards against a job that runs although its caller was told that it is cancelled or does not
+     * exist.
+     */
     @Test
-    public void leavesNoOpenJobBehindAnAcknowledgedCancellation() {
-      holdsInAll(1_000, CarriedOutLate::anyOrder);
+    public void leavesNoActiveJobAfterAnAcknowledgedCancellation() {
+      assertConsistentInAll(1_000, CarriedOutLate::randomOrder);
     }
 
-    private static void anyOrder(World world, int seed) {
+    private static void randomOrder(Simulation simulation, int seed) {
       Random random = new Random(seed);
-      world.store.fate =
+      simulation.store.fate =
           change -> {
-            world.store.lateMillis = 50L + random.nextInt(10_000);
+            simulation.store.lateMillis = 50L + random.nextInt(10_000);
             FakeTableStore.Fate[] fates = FakeTableStore.Fate.values();
             return fates[random.nextInt(fates.length)];
           };
-      world.submitAfter(0);
+      simulation.submitAfter(0);
       if (random.nextBoolean()) {
-        world.submitAfter(random.nextInt(8_000));
+        simulation.submitAfter(random.nextInt(8_000));
       }
-      world.cancelAfter(random.nextInt(6_000));
+      simulation.cancelAfter(random.nextInt(6_000));
     }
   }
 
-  /** A submission and a cancellation at two instances. */
-  public static class AtOnce {
+  /** A submission and a cancellation at two instances at about the same time. */
+  public static class Concurrent {
 
-    /** Guards against a cancellation that looks for its job just before it is stored. */
+    /** Guards against a cancellation that reads the job's row just before the job is stored. */
     @Test
-    public void leavesNoOpenJobWhicheverComesFirst() {
-      holdsInAll(
+    public void leavesNoActiveJobWhicheverComesFirst() {
+      assertConsistentInAll(
           100,
-          (world, number) -> {
-            world.submitAfter(50);
-            world.cancelAfter(number);
+          (simulation, number) -> {
+            simulation.submitAfter(50);
+            simulation.cancelAfter(number);
           });
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
@@ -17,14 +17,14 @@
 
   private static final long KEEP_MILLIS = 120_000;
 
-  private static final class Lab {
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final FakeTableStore store = new FakeTableStore(time);
     final VirtualTimers.View process = time.process();
-    final TableStore seen = store.seenBy(process, call -> true);
-    final Retention retention = new Retention(seen, process, KEEP_MILLIS);
+    final TableStore view = store.seenBy(process, call -> true);
+    final Retention retention = new Retention(view, process, KEEP_MILLIS);
 
-    Lab() {
+    Simulation() {
       retention.start();
     }
 
@@ -38,7 +38,7 @@
 
     private void write(RowKey row) {
       Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("x")), List.of());
-      seen.commit(change, 1_000, answer -> {});
+      view.commit(change, 1_000, answer -> {});
     }
 
     boolean has(String table, String id) {
@@ -46,158 +46,180 @@
     }
   }
 
-  /** When rows go. */
+  /** Removal of rows of jobs that ended. */
   public static class Removing {
 
     @Test
-    public void keepsStatesForTheirTimeAndNoLonger() {
-      Lab lab = new Lab();
-      lab.job("ended");
-      lab.job("running");
-      lab.retention.ended(new JobId("ended"));
-      lab.time.run(KEEP_MILLIS - 1_000);
-      assertTrue(lab.has(JobTables.JOBS, "ended"));
-      lab.time.run(10_000);
-      assertFalse(lab.has(JobTables.JOBS, "ended"));
-      assertFalse(lab.has(JobTables.CANCELS, "ended"));
-      assertFalse(lab.has(JobTables.PROGRESS, "ended"));
-      assertTrue(lab.has(JobTables.JOBS, "running"));
+    public void keepsStatesForRetentionTimeOnly() {
+      Simulation simulation = new Simulation();
+      simulation.job("ended");
+      simulation.job("running");
+      simulation.retention.ended(new JobId("ended"));
+      simulation.time.run(KEEP_MILLIS - 1_000);
+      assertTrue(simulation.has(JobTables.JOBS, "ended"));
+      simulation.time.run(10_000);
+      assertFalse(simulation.has(JobTables.JOBS, "ended"));
+      assertFalse(simulation.has(JobTables.CANCELS, "ended"));
+      assertFalse(simulation.has(JobTables.PROGRESS, "ended"));
+      assertTrue(simulation.has(JobTables.JOBS, "running"));
     }
 
     /**
-     * The leader dies after one of two removals. Were the progress gone and the job still there,
-     * the next leader would run a job again that its caller was told is complete.
+     * The leader crashes after the first of two removals. If the progress were removed first and
+     * the job still existed, the next leader would run a job again that its caller knows to be
+     * complete.
      */
     @Test
     public void neverLeavesJobsWithoutTheirProgress() {
-      Lab lab = new Lab();
-      lab.job("ended");
-      lab.retention.ended(new JobId("ended"));
-      lab.store.fate =
+      Simulation simulation = new Simulation();
+      simulation.job("ended");
+      simulation.retention.ended(new JobId("ended"));
+      simulation.store.fate =
           change -> {
-            lab.process.killed = true;
+            simulation.process.killed = true;
             return FakeTableStore.Fate.GOOD;
           };
-      lab.time.run(KEEP_MILLIS + 10_000);
-      assertFalse(lab.has(JobTables.JOBS, "ended"));
-      assertTrue(lab.has(JobTables.PROGRESS, "ended"));
+      simulation.time.run(KEEP_MILLIS + 10_000);
+      assertFalse(simulation.has(JobTables.JOBS, "ended"));
+      assertTrue(simulation.has(JobTables.PROGRESS, "ended"));
     }
 
     /**
-     * Jobs end as fast as the largest users submit them, 28 a second. Their rows go as fast;
-     * otherwise each takeover would still read more than the one before.
+     * Jobs end at the highest rate at which users submit them, 28 per second. Their rows must be
+     * removed at the same rate; otherwise each takeover would have to read more rows than the
+     * previous one.
      */
     @Test
-    public void keepsUpWithManyJobs() {
-      Lab lab = new Lab();
+    public void removesManyJobsInTime() {
+      Simulation simulation = new Simulation();
       for (int i = 0; i < 280; i++) {
-        lab.job("job" + i);
-        lab.retention.ended(new JobId("job" + i));
+        simulation.job("job" + i);
+        simulation.retention.ended(new JobId("job" + i));
       }
-      lab.time.run(KEEP_MILLIS + 10_000);
-      assertEquals(lab.store.table(JobTables.JOBS).size(), 0);
-      assertEquals(lab.store.table(JobTables.PROGRESS).size(), 0);
+      simulation.time.run(KEEP_MILLIS + 10_000);
+      assertEquals(simulation.store.table(JobTables.JOBS).size(), 0);
+      assertEquals(simulation.store.table(JobTables.PROGRESS).size(), 0);
     }
 
-    /** The store refuses and loses answers for a while; the rows go all the same in the end. */
+    /**
+     * The store refuses some transactions and loses answers of others; the rows must still be
+     * removed in the end.
+     */
     @Test
-    public void triesAgain() {
-      Lab lab = new Lab();
-      lab.job("ended");
-      lab.retention.ended(new JobId("ended"));
+    public void retriesFailedRemovals() {
+      Simulation simulation = new Simulation();
+      simulation.job("ended");
+      simulation.retention.ended(new JobId("ended"));
       int[] calls = {0};
-      lab.store.fate =
+      simulation.store.fate =
           change -> {
             calls[0]++;
             return calls[0] == 1
                 ? FakeTableStore.Fate.REFUSED
                 : calls[0] == 2 ? FakeTableStore.Fate.ANSWER_LOST : FakeTableStore.Fate.GOOD;
           };
-      lab.time.run(KEEP_MILLIS + 30_000);
-      assertFalse(lab.has(JobTables.JOBS, "ended"));
-      assertFalse(lab.has(JobTables.PROGRESS, "ended"));
+      simulation.time.run(KEEP_MILLIS + 30_000);
+      assertFalse(simulation.has(JobTables.JOBS, "ended"));
+      assertFalse(simulation.has(JobTables.PROGRESS, "ended"));
       assertEquals(calls[0], 4);
     }
   }
 
-  /** Rows of cancellations that came before their job. */
-  public static class Orphans {
+  /** Rows of cancellations that were stored before their job. */
+  public static class UnmatchedCancellations {
 
     private static final RowKey AT = JobTables.cancel(new JobId("orphan"));
 
-    /** Writes such a row and tells it as a follower does. */
-    private static void write(Lab lab, RowKey at) {
+    /**
+     * Writes the row of a cancellation without a job and reports it to the retention, as the table
+     * watcher does.
+     */
+    private static void write(Simulation simulation, RowKey at) {
       Transaction change = new Transaction(Map.of(), Map.of(at, Payload.of("0")), List.of());
-      lab.seen.commit(
+      simulation.view.commit(
           change,
           1_000,
-          answer -> lab.retention.orphan(new Row(at, Payload.of("0"), answer.version(), false)));
-      lab.time.run(20);
+          answer ->
+              simulation.retention.orphan(new Row(at, Payload.of("0"), answer.version(), false)));
+      simulation.time.run(20);
     }
 
     /**
-     * Guards against rows that stay for good, and against ones that go before a late submission.
+     * Guards against rows that are never removed, and against rows that are removed before a late
+     * submission.
      */
     @Test
-    public void staysForItsTimeAndNoLonger() {
-      Lab lab = new Lab();
-      write(lab, AT);
-      lab.time.run(KEEP_MILLIS - 1_000);
-      assertTrue(lab.has(JobTables.CANCELS, "orphan"));
-      lab.time.run(10_000);
-      assertFalse(lab.has(JobTables.CANCELS, "orphan"));
+    public void keepsRowsForRetentionTimeOnly() {
+      Simulation simulation = new Simulation();
+      write(simulation, AT);
+      simulation.time.run(KEEP_MILLIS - 1_000);
+      assertTrue(simulation.has(JobTables.CANCELS, "orphan"));
+      simulation.time.run(10_000);
+      assertFalse(simulation.has(JobTables.CANCELS, "orphan"));
     }
 
-    /** Guards against a repeated cancellation whose row goes with the time of the first. */
+    /**
+     * Guards against a repeated cancellation whose row is removed when the retention time of the
+     * first cancellation has passed.
+     */
     @Test
-    public void countsFromTheLastCancellation() {
-      Lab lab = new Lab();
-      write(lab, AT);
-      lab.time.run(KEEP_MILLIS - 1_000);
-      write(lab, AT);
-      lab.time.run(KEEP_MILLIS - 1_000);
-      assertTrue(lab.has(JobTables.CANCELS, "orphan"));
-      lab.time.run(10_000);
-      assertFalse(lab.has(JobTables.CANCELS, "orphan"));
+    public void countsFromTheLatestCancellation() {
+      Simulation simulation = new Simulation();
+      write(simulation, AT);
+      simulation.time.run(KEEP_MILLIS - 1_000);
+      write(simulation, AT);
+      simulation.time.run(KEEP_MILLIS - 1_000);
+      assertTrue(simulation.has(JobTables.CANCELS, "orphan"));
+      simulation.time.run(10_000);
+      assertFalse(simulation.has(JobTables.CANCELS, "orphan"));
     }
 
-    /** Guards against a late removal that takes the cancellation of a job submitted since. */
+    /**
+     * Guards against a late removal that deletes the cancellation of a job submitted in the
+     * meantime.
+     */
     @Test
-    public void removesNothingThatWasWrittenSince() {
-      Lab lab = new Lab();
-      write(lab, AT);
-      write(lab, JobTables.cancel(new JobId("other")));
-      lab.time.run(KEEP_MILLIS - 1_000);
-      lab.write(AT);
-      lab.time.run(20_000);
-      assertTrue(lab.has(JobTables.CANCELS, "orphan"));
-      assertFalse(lab.has(JobTables.CANCELS, "other"));
+    public void keepsRowsWrittenAgain() {
+      Simulation simulation = new Simulation();
+      write(simulation, AT);
+      write(simulation, JobTables.cancel(new JobId("other")));
+      simulation.time.run(KEEP_MILLIS - 1_000);
+      simulation.write(AT);
+      simulation.time.run(20_000);
+      assertTrue(simulation.has(JobTables.CANCELS, "orphan"));
+      assertFalse(simulation.has(JobTables.CANCELS, "other"));
     }
 
-    /** Guards against rows that stay since one removal was refused or had no answer. */
+    /**
+     * Guards against rows that are never removed because one removal was refused or had no answer.
+     */
     @Test
-    public void triesAgain() {
-      Lab lab = new Lab();
-      write(lab, AT);
+    public void retriesFailedRemovals() {
+      Simulation simulation = new Simulation();
+      write(simulation, AT);
       List<FakeTableStore.Fate> fates =
           new ArrayList<>(
               List.of(
                   FakeTableStore.Fate.REFUSED,
                   FakeTableStore.Fate.LATE,
                   FakeTableStore.Fate.ANSWER_LOST));
-      lab.store.fate = change -> fates.isEmpty() ? FakeTableStore.Fate.GOOD : fates.remove(0);
-      lab.time.run(KEEP_MILLIS + 30_000);
-      assertFalse(lab.has(JobTables.CANCELS, "orphan"));
+      simulation.store.fate =
+          change -> fates.isEmpty() ? FakeTableStore.Fate.GOOD : fates.remove(0);
+      simulation.time.run(KEEP_MILLIS + 30_000);
+      assertFalse(simulation.has(JobTables.CANCELS, "orphan"));
       assertTrue(fates.size() <= 1);
     }
 
-    /** Guards against rows that pile up when somebody cancels what was never submitted. */
+    /**
+     * Guards against rows that accumulate when many jobs that were never submitted are cancelled.
+     */
     @Test
-    public void keepsUpWithManyCancellations() {
-      Lab lab = new Lab();
-      IntStream.range(0, 3_000).forEach(i -> write(lab, JobTables.cancel(new JobId("id" + i))));
-      lab.time.run(KEEP_MILLIS + 10_000);
-      assertEquals(lab.store.table(JobTables.CANCELS).size(), 0);
+    public void removesManyCancellationsInTime() {
+      Simulation simulation = new Simulation();
+      IntStream.range(0, 3_000)
+          .forEach(i -> write(simulation, JobTables.cancel(new JobId("id" + i))));
+      simulation.time.run(KEEP_MILLIS + 10_000);
+      assertEquals(simulation.store.table(JobTables.CANCELS).size(), 0);
     }
   }
 }
