--- a/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
@@ -10,13 +10,13 @@
 import java.util.function.Consumer;
 import org.testng.annotations.Test;
 
-/** Tests of what is known of the store by the calls made to it. */
+/** Tests of how the store's availability and latency are derived from the calls made to it. */
 public class WatchedStoreTest {
 
   private static final TableStore.Scan ANSWER = new TableStore.Scan(true, List.of(), 1, 1);
   private static final Transaction NOTHING = new Transaction(Map.of(), Map.of(), List.of());
 
-  /** A store that answers when the test says so. */
+  /** A store that answers only when the test calls the consumer. */
   private static final class SilentStore implements TableStore {
     final List<Consumer<Scan>> scans = new ArrayList<>();
     final List<Consumer<CommitResult>> commits = new ArrayList<>();
@@ -35,7 +35,7 @@
     public void watch(String table, long after, long waitMillis, Consumer<Changes> done) {}
   }
 
-  private static final class Lab {
+  private static final class Simulation {
     final VirtualTimers time = new VirtualTimers();
     final VirtualTimers.View process = time.process();
     final SilentStore store = new SilentStore();
@@ -43,73 +43,81 @@
   }
 
   /** Whether the store serves this instance. */
-  public static class Away {
+  public static class Availability {
 
-    /** A read gets no answer: after 0.7 s the store counts as away, until it answers again. */
+    /**
+     * A read gets no answer: after 0.7 s the store counts as unavailable, until it answers again.
+     */
     @Test
-    public void tellsSilenceFromService() {
-      Lab lab = new Lab();
-      lab.watched.probe();
-      lab.time.run(600);
-      assertFalse(lab.watched.away());
-      lab.time.run(400);
-      assertTrue(lab.watched.away());
-      lab.store.scans.get(0).accept(ANSWER);
-      assertFalse(lab.watched.away());
+    public void detectsSilence() {
+      Simulation simulation = new Simulation();
+      simulation.watched.probe();
+      simulation.time.run(600);
+      assertFalse(simulation.watched.unavailable());
+      simulation.time.run(400);
+      assertTrue(simulation.watched.unavailable());
+      simulation.store.scans.get(0).accept(ANSWER);
+      assertFalse(simulation.watched.unavailable());
     }
 
-    /** Nobody asks anything, or only for changes that need not come yet: that is no silence. */
+    /**
+     * There are no calls in flight, or only waits for changes whose answers are not due yet. That
+     * does not count as silence.
+     */
     @Test
     public void waitsUntilAnAnswerIsDue() {
-      Lab lab = new Lab();
-      lab.time.run(5_000);
-      assertFalse(lab.watched.away());
-      lab.watched.watch("table", 0, 1_000, news -> {});
-      lab.time.run(1_400);
-      assertFalse(lab.watched.away());
-      lab.time.run(600);
-      assertTrue(lab.watched.away());
+      Simulation simulation = new Simulation();
+      simulation.time.run(5_000);
+      assertFalse(simulation.watched.unavailable());
+      simulation.watched.watch("table", 0, 1_000, changes -> {});
+      simulation.time.run(1_400);
+      assertFalse(simulation.watched.unavailable());
+      simulation.time.run(600);
+      assertTrue(simulation.watched.unavailable());
     }
 
     /**
-     * The process is paused for 5 s with a read under way; its answer lies unread. By the clock the
-     * store was silent for 5 s, and callers who come first after the pause would be turned away.
+     * The process is paused for 5 s with a read in flight, and has not read its answer. By the
+     * clock the store was silent for 5 s, and the first callers after the pause would be rejected.
      */
     @Test
-    public void countsNoPauseAsSilence() {
-      Lab lab = new Lab();
-      lab.watched.probe();
-      lab.process.lateMillis = 5_000;
-      lab.time.run(150);
-      lab.process.lateMillis = 0;
-      lab.time.run(5_100);
-      assertFalse(lab.watched.away());
+    public void ignoresPausesOfTheProcess() {
+      Simulation simulation = new Simulation();
+      simulation.watched.probe();
+      simulation.process.lateMillis = 5_000;
+      simulation.time.run(150);
+      simulation.process.lateMillis = 0;
+      simulation.time.run(5_100);
+      assertFalse(simulation.watched.unavailable());
     }
 
-    /** The store turns this instance away, and no other: it serves nothing here, so it is away. */
+    /**
+     * The store refuses calls of this instance only. It serves nothing to this instance, so it
+     * counts as unavailable.
+     */
     @Test
-    public void refusalsAreNoService() {
-      Lab lab = new Lab();
-      lab.watched.commit(NOTHING, 1_000, answer -> {});
-      lab.store.commits.get(0).accept(CommitResult.of(CommitResult.Outcome.REFUSED));
-      lab.time.run(1_000);
-      assertTrue(lab.watched.away());
+    public void countsRefusalsAsUnavailable() {
+      Simulation simulation = new Simulation();
+      simulation.watched.commit(NOTHING, 1_000, answer -> {});
+      simulation.store.commits.get(0).accept(CommitResult.of(CommitResult.Outcome.REFUSED));
+      simulation.time.run(1_000);
+      assertTrue(simulation.watched.unavailable());
     }
   }
 
-  /** How long answers are waited for. */
-  public static class Patience {
+  /** How long to wait for an answer before a call is repeated. */
+  public static class RetryTimeout {
 
     @Test
-    public void followsRecentAnswersAndForgetsThem() {
-      Lab lab = new Lab();
-      final long usual = lab.watched.patienceMillis();
-      lab.watched.probe();
-      lab.time.run(300);
-      lab.store.scans.get(0).accept(ANSWER);
-      assertEquals(lab.watched.patienceMillis(), 1_200);
-      lab.time.run(20_000);
-      assertEquals(lab.watched.patienceMillis(), usual);
+    public void adaptsToRecentLatencyAndDecays() {
+      Simulation simulation = new Simulation();
+      final long usual = simulation.watched.patienceMillis();
+      simulation.watched.probe();
+      simulation.time.run(300);
+      simulation.store.scans.get(0).accept(ANSWER);
+      assertEquals(simulation.watched.patienceMillis(), 1_200);
+      simulation.time.run(20_000);
+      assertEquals(simulation.watched.patienceMillis(), usual);
     }
   }
 }
--- a/daemon/src/test/java/org/cottontack/daemon/settings/JobSettingsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/settings/JobSettingsTest.java
@@ -8,7 +8,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings of an entry instance for jobs, which the platform fills in. */
+/**
+ * Tests of the settings of an entry instance for jobs, whose values are filled in by the platform.
+ */
 public class JobSettingsTest {
 
   private static final String GOOD =
@@ -29,10 +31,10 @@
         GOOD + "stop:\n  graceSeconds: " + grace + "\njobs:\n  keepSeconds: " + keep + "\n");
   }
 
-  /** Values as the platform may fill them in. */
-  public static class Filled {
+  /** Values in the forms in which the platform provides them. */
+  public static class PlatformValues {
 
-    /** Grace and time to keep as text, and both in milliseconds. */
+    /** Returns grace period and retention time as text, and both in milliseconds. */
     @DataProvider
     public Object[][] values() {
       return new Object[][] {
@@ -44,11 +46,11 @@
     }
 
     /**
-     * The platform gives bounds as whole numbers, as fractions, or not at all. A process that took
-     * a fraction for a fault would not start, and no caller would be served on that installation.
+     * The platform provides these values as whole numbers, as fractions, or not at all. A process
+     * that rejected a fraction would not start, and no caller would be served on that installation.
      */
     @Test(dataProvider = "values")
-    public void takesWholeNumbersFractionsAndNothing(
+    public void acceptsWholeNumbersFractionsAndDefaults(
         String grace, String keep, long graceMillis, long keepMillis) {
       JobSettings settings = with(grace, keep);
       assertEquals(settings.graceMillis(), graceMillis);
@@ -56,10 +58,10 @@
     }
   }
 
-  /** What an instance has for leading. */
-  public static class Sizes {
+  /** The capacity of an instance as a leader. */
+  public static class Capacities {
 
-    /** Share of a core, cores and link as text, and what follows from them. */
+    /** Returns processor share, cores and link as text, and the resulting capacity. */
     @DataProvider
     public Object[][] values() {
       return new Object[][] {
@@ -69,9 +71,12 @@
       };
     }
 
-    /** Where the platform does not tell, all instances count as equal and nobody stands back. */
+    /**
+     * If the platform provides no values, all instances must have equal capacity, so that none
+     * yields leadership to another.
+     */
     @Test(dataProvider = "values")
-    public void followFromShareCoresAndLink(
+    public void computesCapacityFromShareCoresAndLink(
         String share, String cores, String link, Capacity capacity) {
       String size =
           "capacity:\n  processorShare: %s\n  cores: %s\n  linkMbps: %s\n"
@@ -80,7 +85,7 @@
     }
   }
 
-  /** Bad files. */
+  /** Invalid files. */
   public static class Faults {
 
     @Test
--- a/daemon/src/test/java/org/cottontack/daemon/settings/SettingsLoaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/settings/SettingsLoaderTest.java
@@ -9,12 +9,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings are checked whole before anything starts. */
+/** Tests that all settings are validated before anything starts. */
 public final class SettingsLoaderTest {
 
   private SettingsLoaderTest() {}
 
-  /** Files of both users. */
+  /** The example files of both users. */
   public static final class Examples {
 
     /** Returns the example files. */
@@ -31,7 +31,7 @@
       };
     }
 
-    /** Every example is good. */
+    /** Every example file must be valid. */
     @Test(dataProvider = "files")
     public void exampleIsGood(String file, String dataCentre) {
       DaemonSettings settings = SettingsLoader.load(Path.of("../examples", file));
@@ -39,14 +39,14 @@
     }
   }
 
-  /** Bad files. */
+  /** Invalid files. */
   public static final class Faults {
 
     private static List<String> faultsOf(String text) {
       return expectThrows(SettingsException.class, () -> SettingsLoader.parse(text)).faults();
     }
 
-    /** All faults are listed at once, each with its place and what would be right. */
+    /** All faults must be listed at once, each with its path and the expected form. */
     @Test
     public void allFaultsAtOnce() {
       List<String> faults =
@@ -65,13 +65,13 @@
               "ownership.driftMarginMillis: 'soon' is not a whole number of milliseconds"));
     }
 
-    /** What is not YAML is said with its line and column. */
+    /** A YAML syntax error must be reported with its line and column. */
     @Test
     public void notYaml() {
       assertEquals(faultsOf("a: [").get(0).substring(0, 5), "line ");
     }
 
-    /** A missing file is one clear line. */
+    /** A missing file must be reported as one clear message. */
     @Test
     public void missingFile() {
       assertThrows(
--- a/daemon/src/test/java/org/cottontack/daemon/timeline/TimelineTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/timeline/TimelineTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** The time line keeps causal order and says what it dropped. */
+/** Tests of the causal order of timestamps and of the time line's limit. */
 public final class TimelineTest {
 
   private TimelineTest() {}
@@ -13,7 +13,10 @@
   /** The hybrid clock. */
   public static final class Clock {
 
-    /** An effect is stamped later than its cause although its process's wall clock is behind. */
+    /**
+     * An effect must have a later timestamp than its cause, even if the wall clock of its process
+     * is behind.
+     */
     @Test
     public void effectsComeAfterCauses() {
       HybridClock ahead = new HybridClock(() -> 5_000);
@@ -23,17 +26,17 @@
       assertTrue(behind.next() > cause);
     }
 
-    /** Stamps stay close to wall time. */
+    /** Timestamps must stay close to wall-clock time. */
     @Test
     public void staysCloseToWallTime() {
       assertEquals(HybridClock.wallOf(new HybridClock(() -> 5_000).next()), 5_000);
     }
   }
 
-  /** The memory for events. */
-  public static final class Ring {
+  /** The buffer of events. */
+  public static final class Buffer {
 
-    /** The oldest events go first and are counted. */
+    /** The oldest events must be dropped first and counted. */
     @Test
     public void dropsTheOldest() {
       Timeline timeline = new Timeline(2);
