--- a/daemon/src/main/java/org/cottontack/daemon/Daemon.java
+++ b/daemon/src/main/java/org/cottontack/daemon/Daemon.java
@@ -193,7 +193,7 @@
 
   /**
    * Stops gracefully: accepts no new work, finishes the work in progress and releases its share of
-   * the back ends and workers. Returns whether this was done within the drain time.
+   * endpoints and workers. Returns whether this was done within the drain time.
    */
   public boolean stop() throws InterruptedException {
     engine.post(new OwnershipEvent.StopAsked());
--- a/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
@@ -27,7 +27,7 @@
    * Delay after which a rejected caller should retry, in seconds. Usual outages last a few seconds,
    * and the store has been tried several times before a caller is rejected.
    */
-  public static final long COME_BACK_SECONDS = 1;
+  public static final long RETRY_AFTER_SECONDS = 1;
 
   /** Timeout of a caller that specifies none, in milliseconds. */
   private static final long DEFAULT_TIMEOUT_MILLIS = 3_000;
