--- a/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
@@ -51,7 +51,7 @@
   private final TableStore store;
   private final Timers timers;
   private final long keepMillis;
-  private final Deque<EndedJob> ended = new ArrayDeque<>();
+  private final Deque<EndedJob> endedJobs = new ArrayDeque<>();
   private final Map<RowKey, UnmatchedCancellation> unmatchedCancellations = new HashMap<>();
   private final Map<RowKey, Row> rowsToRemove = new HashMap<>();
   private boolean stopped;
@@ -70,7 +70,7 @@
 
   /** Called when a job's end is stored and none of its tasks is running. */
   void ended(JobId id) {
-    ended.add(new EndedJob(id, timers.now().mono()));
+    endedJobs.add(new EndedJob(id, timers.now().mono()));
   }
 
   /**
@@ -112,8 +112,8 @@
   private void removeExpired() {
     long cutoffMillis = timers.now().mono() - keepMillis;
     List<JobId> jobs = new ArrayList<>();
-    while (!ended.isEmpty() && ended.peek().sinceMillis() <= cutoffMillis) {
-      jobs.add(ended.poll().id());
+    while (!endedJobs.isEmpty() && endedJobs.peek().sinceMillis() <= cutoffMillis) {
+      jobs.add(endedJobs.poll().id());
     }
     batches(jobs, id -> JobTables.job(id).part()).forEach(this::removeJobs);
     List<Row> expired =
@@ -191,7 +191,7 @@
             onRemoved.run();
           } else {
             // Removing a row twice has no effect, so both transactions of the job are retried.
-            jobs.forEach(id -> ended.addFirst(new EndedJob(id, ALREADY_DUE_MILLIS)));
+            jobs.forEach(id -> endedJobs.addFirst(new EndedJob(id, ALREADY_DUE_MILLIS)));
           }
         });
   }
