--- a/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
@@ -181,7 +181,7 @@
    */
   private void onJobArrived(JobSpec job) {
     post(new JobEvent.JobArrived(job));
-    if (retention.claim(job.id())) {
+    if (retention.matchCancellation(job.id())) {
       cancelled(job.id());
     }
   }
@@ -189,9 +189,9 @@
   private void onCancellationRow(Row row) {
     JobId id = new JobId(row.key());
     if (row.removed()) {
-      retention.gone(row.at());
+      retention.cancellationRemoved(row.at());
     } else if (Cancellation.parse(row) == Cancellation.BEFORE_SUBMISSION && !isKnown(id)) {
-      retention.orphan(row);
+      retention.addUnmatchedCancellation(row);
     } else if (scheduler == null) {
       cancelled.add(id);
     } else {
@@ -232,7 +232,7 @@
   private void begin(ProgressStore.Found found) {
     leadership.begin();
     final Map<JobId, String> progress = found.jobs();
-    accepted.keySet().stream().filter(retention::claim).forEach(cancelled::add);
+    accepted.keySet().stream().filter(retention::matchCancellation).forEach(cancelled::add);
     JobScheduler created =
         new JobScheduler(
             JobTiming.STANDARD, table, timers.now(), leadership.inheritedLeaseEndMillis());
@@ -261,7 +261,7 @@
             .with("event", "leader.ready")
             .with("epoch", epoch)
             .with("jobs", accepted.size()));
-    progress.keySet().forEach(waitingRows::begun);
+    progress.keySet().forEach(waitingRows::jobStarted);
     // Ended progress without a job is left over from a removal that an earlier leader did not
     // finish. Open progress without a job stays, because this version may be unable to read its
     // job.
@@ -353,7 +353,7 @@
     } else if (effect instanceof JobEffect.PaceRun pace) {
       workers.pace(pace, epoch, answered -> onPaceAnswered(pace, answered));
     } else if (effect instanceof JobEffect.Begun begun) {
-      waitingRows.begun(begun.job());
+      waitingRows.jobStarted(begun.job());
     } else if (effect instanceof JobEffect.HandOver over) {
       timers.soon(() -> leadership.handOver(over.reason()));
     } else if (effect instanceof JobEffect.StepDown down) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
@@ -130,7 +130,7 @@
     }
     Transaction transaction =
         new Transaction(Map.of(JobTables.FENCE, fenceVersion), writes, List.of());
-    commit(transaction, store.patienceMillis(), onSaved);
+    commit(transaction, store.retryTimeoutMillis(), onSaved);
   }
 
   /**
--- a/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
@@ -117,13 +117,13 @@
       final Candidate second = simulation.candidate("b", 1);
       simulation.time.run(3_000);
       long[] at = {0};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
             if (at[0] == 0 && change.writes().containsKey(LEASE)) {
               at[0] = first.timers.now().mono();
-              return FakeTableStore.Fate.LATE;
+              return FakeTableStore.CommitBehaviour.LATE;
             }
-            return FakeTableStore.Fate.GOOD;
+            return FakeTableStore.CommitBehaviour.GOOD;
           };
       while (at[0] == 0) {
         simulation.time.run(1);
@@ -145,17 +145,19 @@
     public void lateTakeoversCountFromTheFirstAttempt() {
       ElectionSimulation simulation = new ElectionSimulation();
       long[] at = {0};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
             long now = simulation.time.process().now().mono();
             if (!change.writes().containsKey(LEASE)) {
-              return FakeTableStore.Fate.GOOD;
+              return FakeTableStore.CommitBehaviour.GOOD;
             }
             if (at[0] == 0) {
               at[0] = now;
-              return FakeTableStore.Fate.LATE;
+              return FakeTableStore.CommitBehaviour.LATE;
             }
-            return now < at[0] + 2_990 ? FakeTableStore.Fate.REFUSED : FakeTableStore.Fate.GOOD;
+            return now < at[0] + 2_990
+                ? FakeTableStore.CommitBehaviour.REFUSED
+                : FakeTableStore.CommitBehaviour.GOOD;
           };
       Candidate first = simulation.candidate("a", 1);
       while (!first.leadership.leading()) {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
@@ -61,7 +61,7 @@
     long from = simulation.time.now() + fromMillis;
     long until = from + delayMillis + 5_000;
     boolean[] first = {true};
-    simulation.store.heldMillis =
+    simulation.store.extraLatencyMillis =
         requested -> {
           long now = simulation.time.now();
           if (!requested.equals(call) || now < from || now > until) {
@@ -85,7 +85,7 @@
   private static long readTablesSlowly(StartsSimulation simulation, String table, Random random) {
     long page = random.nextInt(1_400);
     long until = simulation.time.now() + 9_000;
-    simulation.store.heldMillis =
+    simulation.store.extraLatencyMillis =
         call -> {
           boolean watching = call.equals("follow " + table) && simulation.time.now() < until;
           return watching ? LOST_MILLIS : call.equals("scan " + table) ? page : 0;
@@ -316,7 +316,7 @@
       StartsSimulation simulation = new StartsSimulation();
       delayResponse(simulation, "follow " + table, 500, LOST_MILLIS);
       simulation.time.run(millis);
-      simulation.store.heldMillis = call -> 0;
+      simulation.store.extraLatencyMillis = call -> 0;
       simulation.time.run(5_000);
       assertEquals(simulation.notSent, 0);
     }
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
@@ -146,14 +146,14 @@
     public void lateDuplicateSavesChangeNothing() {
       LeaderSimulation simulation = new LeaderSimulation();
       boolean[] first = {true};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
             boolean progress = change.writes().keySet().stream().anyMatch(JobTables.FENCE::equals);
             if (progress && first[0]) {
               first[0] = false;
-              return FakeTableStore.Fate.LATE;
+              return FakeTableStore.CommitBehaviour.LATE;
             }
-            return FakeTableStore.Fate.GOOD;
+            return FakeTableStore.CommitBehaviour.GOOD;
           };
       simulation.submit("a");
       simulation.time.run(1_000);
@@ -173,14 +173,14 @@
     public void continuesWhenSaveResponsesAreLost() {
       LeaderSimulation simulation = new LeaderSimulation();
       boolean[] first = {true};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
             boolean progress = change.writes().keySet().stream().anyMatch(JobTables.FENCE::equals);
             if (progress && first[0]) {
               first[0] = false;
-              return FakeTableStore.Fate.ANSWER_LOST;
+              return FakeTableStore.CommitBehaviour.ANSWER_LOST;
             }
-            return FakeTableStore.Fate.GOOD;
+            return FakeTableStore.CommitBehaviour.GOOD;
           };
       simulation.submit("a");
       simulation.time.run(2_000);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
@@ -38,10 +38,12 @@
     public void leadsWhenTheResponseWasLost() {
       ElectionSimulation simulation = new ElectionSimulation();
       boolean[] first = {true};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
-            FakeTableStore.Fate fate =
-                first[0] ? FakeTableStore.Fate.ANSWER_LOST : FakeTableStore.Fate.GOOD;
+            FakeTableStore.CommitBehaviour fate =
+                first[0]
+                    ? FakeTableStore.CommitBehaviour.ANSWER_LOST
+                    : FakeTableStore.CommitBehaviour.GOOD;
             first[0] = false;
             return fate;
           };
@@ -81,10 +83,10 @@
     public void renewsNoMoreOftenThanDue() {
       ElectionSimulation simulation = new ElectionSimulation();
       int[] commits = {0};
-      simulation.store.fate =
+      simulation.store.commitBehaviour =
           change -> {
             commits[0]++;
-            return FakeTableStore.Fate.GOOD;
+            return FakeTableStore.CommitBehaviour.GOOD;
           };
       Candidate only = simulation.candidate("a", 1);
       for (int i = 0; i < 1_000; i++) {
