--- a/adapters/src/main/java/org/cottontack/adapters/AdapterException.java
+++ b/adapters/src/main/java/org/cottontack/adapters/AdapterException.java
@@ -2,21 +2,21 @@
 
 import java.util.Locale;
 
-/** A fault at the edge of the product; faults of libraries below are translated into it. */
+/** Signals an error in an adapter; exceptions of the libraries below are translated into it. */
 public final class AdapterException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What went wrong. */
+  /** The kinds of errors. */
   public enum Code {
-    /** Text is not in the form it should be. */
+    /** A text does not have the required format. */
     MALFORMED,
-    /** An address cannot be listened on. */
+    /** A server cannot listen on its address. */
     CANNOT_LISTEN,
     /** A file cannot be read. */
     CANNOT_READ;
 
-    /** Returns the stable word for logs. */
+    /** Returns the stable name that logs use. */
     public String word() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -24,13 +24,13 @@
 
   private final Code code;
 
-  /** Creates an exception with its code and one clear line. */
+  /** Creates an exception with its code and a message of one line. */
   public AdapterException(Code code, String message, Throwable cause) {
     super(message, cause);
     this.code = code;
   }
 
-  /** Returns what went wrong. */
+  /** Returns the kind of error. */
   public Code code() {
     return code;
   }
--- a/adapters/src/main/java/org/cottontack/adapters/Address.java
+++ b/adapters/src/main/java/org/cottontack/adapters/Address.java
@@ -3,17 +3,17 @@
 import java.net.InetSocketAddress;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param host the IP number
- * @param port the port, 0 for any free one when listening
+ * @param host the IP address
+ * @param port the port; 0 means any free port when listening
  */
 public record Address(String host, int port) {
 
   private static final int MAX_PORT = 65_535;
 
   /**
-   * Reads {@code host:port}.
+   * Parses {@code host:port}.
    *
    * @throws AdapterException with {@link AdapterException.Code#MALFORMED} for any other text
    */
@@ -25,7 +25,7 @@
         return new Address(text.substring(0, colon), port);
       }
     } catch (NumberFormatException e) {
-      // falls through to the one message for every malformed address
+      // Falls through to the message that is used for every malformed address.
     }
     throw new AdapterException(
         AdapterException.Code.MALFORMED,
@@ -33,7 +33,7 @@
         null);
   }
 
-  /** Returns the socket address. */
+  /** Returns this address as a socket address. */
   public InetSocketAddress socket() {
     return new InetSocketAddress(host, port);
   }
--- a/adapters/src/main/java/org/cottontack/adapters/fleet/HttpMembership.java
+++ b/adapters/src/main/java/org/cottontack/adapters/fleet/HttpMembership.java
@@ -15,8 +15,9 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * The platform's list of instances over HTTP, asked for with the tag of the last one, so that a
- * list that did not change costs a header. A failed read is dropped; the next one follows.
+ * Reads the platform's list of instances over HTTP. Requests carry the ETag of the last list, so
+ * that the response to an unchanged list is only a header. A failed request is ignored because the
+ * list is requested again later.
  */
 public final class HttpMembership {
 
@@ -31,10 +32,10 @@
   /**
    * Creates the adapter.
    *
-   * @param client makes the calls
+   * @param client sends the requests
    * @param address the platform
-   * @param dataCentre whose instances are asked for
-   * @param events gets each list that differs from the one before
+   * @param dataCentre the data centre whose instances are requested
+   * @param events receives each list that differs from the previous one
    */
   public HttpMembership(
       HttpClient client, Address address, DataCentreId dataCentre, Consumer<Event> events) {
@@ -45,13 +46,13 @@
   }
 
   /**
-   * The body of the platform's answer.
+   * The body of the platform's response.
    *
    * @param members all instances that run work
    */
   public record Members(List<MemberInfo> members) {}
 
-  /** Asks for the list; it comes as an event. */
+  /** Requests the list, which is delivered as an event. */
   public void fetch() {
     HttpClient.Spec spec =
         new HttpClient.Spec(
@@ -74,7 +75,7 @@
       events.accept(new FleetEvent.Listed(members.members()));
       etag = result.headers().getOrDefault("etag", "none");
     } catch (AdapterException e) {
-      // A list that cannot be read is as good as none: the last one stays in force.
+      // An unreadable list is ignored; the last one stays in force.
       return;
     }
   }
--- a/adapters/src/main/java/org/cottontack/adapters/fleet/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's list of instances over HTTP. */
+/** Reads the platform's list of instances over HTTP. */
 package org.cottontack.adapters.fleet;
--- a/adapters/src/main/java/org/cottontack/adapters/http/HttpCall.java
+++ b/adapters/src/main/java/org/cottontack/adapters/http/HttpCall.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Collectors;
 
-/** One HTTP request at the server, answered once, from any thread. */
+/** One HTTP request at the server. It may be answered from any thread, and only once. */
 public final class HttpCall {
 
   private final ChannelHandlerContext context;
@@ -29,12 +29,12 @@
   private final Map<String, String> headers;
   private final byte[] body;
   private final boolean keepAlive;
-  private final HttpServer.Open open;
+  private final HttpServer.OpenCalls openCalls;
   private final AtomicBoolean answered = new AtomicBoolean();
 
-  HttpCall(ChannelHandlerContext context, FullHttpRequest request, HttpServer.Open open) {
+  HttpCall(ChannelHandlerContext context, FullHttpRequest request, HttpServer.OpenCalls openCalls) {
     this.context = context;
-    this.open = open;
+    this.openCalls = openCalls;
     this.method = request.method().name();
     this.uri = new QueryStringDecoder(request.uri());
     this.headers =
@@ -46,7 +46,7 @@
                     (first, second) -> first));
     this.body = ByteBufUtil.getBytes(request.content());
     this.keepAlive = HttpUtil.isKeepAlive(request);
-    open.began();
+    openCalls.started();
   }
 
   /** Returns the method, such as {@code GET}. */
@@ -54,43 +54,43 @@
     return method;
   }
 
-  /** Returns the path without its query. */
+  /** Returns the path without the query. */
   public String path() {
     return uri.path();
   }
 
-  /** Returns a query parameter. */
+  /** Returns the first value of a query parameter. */
   public Optional<String> query(String name) {
     return uri.parameters().getOrDefault(name, List.of()).stream().findFirst();
   }
 
-  /** Returns a header; its name is given in lower case. */
+  /** Returns the first value of a header, whose name must be in lower case. */
   public Optional<String> header(String name) {
     return Optional.ofNullable(headers.get(name));
   }
 
-  /** Returns the body. */
+  /** Returns a copy of the body. */
   public byte[] body() {
     return body.clone();
   }
 
-  /** Returns the body read as UTF-8. */
+  /** Returns the body decoded as UTF-8. */
   public String text() {
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  /** Answers with JSON text. */
+  /** Sends a response with JSON text. */
   public void json(int status, String text) {
     respond(
         status, Map.of("content-type", "application/json"), text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Answers; a second answer is dropped. */
+  /** Sends a response. Responses after the first one are discarded. */
   public void respond(int status, Map<String, String> responseHeaders, byte[] bytes) {
     if (!answered.compareAndSet(false, true)) {
       return;
     }
-    boolean keep = keepAlive && !open.closing();
+    boolean keep = keepAlive && !openCalls.closing();
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -100,16 +100,16 @@
     response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
     HttpUtil.setKeepAlive(response, keep);
     var write = context.writeAndFlush(response);
-    write.addListener(written -> open.ended());
+    write.addListener(written -> openCalls.finished());
     if (!keep) {
       write.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  /** Closes the connection without an answer, as a failing server does. */
+  /** Closes the connection without a response, like a failing server. */
   public void drop() {
     if (answered.compareAndSet(false, true)) {
-      open.ended();
+      openCalls.finished();
       context.close();
     }
   }
--- a/adapters/src/main/java/org/cottontack/adapters/http/HttpClient.java
+++ b/adapters/src/main/java/org/cottontack/adapters/http/HttpClient.java
@@ -37,18 +37,19 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * Makes HTTP/1.1 requests over kept connections, one request at a time on each, so that an answer
- * can only belong to the request before it.
+ * Sends HTTP/1.1 requests over pooled connections. Each connection carries one request at a time,
+ * so that a response can only belong to the request that precedes it.
  */
 public final class HttpClient {
 
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
   private static final int CONNECT_MILLIS = 1_000;
   private static final int MAX_IDLE = 64;
 
   /**
-   * Time without use after which a connection is closed, in milliseconds: two of the longest pauses
-   * between calls to one worker. Workers take a limited number of connections from all of us.
+   * Idle time after which a connection is closed, in milliseconds. It is twice the longest pause
+   * between requests to one worker. Idle connections are closed because a worker accepts a limited
+   * number of connections from all instances together.
    */
   private static final long IDLE_MILLIS = 10_000;
 
@@ -56,12 +57,12 @@
   private final Map<Address, Deque<Channel>> idle = new ConcurrentHashMap<>();
   private final long idleMillis;
 
-  /** Creates a client on event loops. */
+  /** Creates a client that runs on the given event loops. */
   public HttpClient(EventLoopGroup group) {
     this(group, IDLE_MILLIS);
   }
 
-  /** Creates a client that closes connections after some time without use. */
+  /** Creates a client that closes connections after the given idle time. */
   HttpClient(EventLoopGroup group, long idleMillis) {
     this.idleMillis = idleMillis;
     this.bootstrap =
@@ -74,15 +75,16 @@
   }
 
   /**
-   * A request to be made.
+   * A request to send.
    *
-   * @param address where to
-   * @param method such as {@code POST}
-   * @param path with query
-   * @param headers headers
+   * @param address the server
+   * @param method the HTTP method, such as {@code POST}
+   * @param path the path with its query
+   * @param headers the headers
    * @param body the body
-   * @param timeoutMillis longest wait for the whole answer
-   * @param allowed asked right before the first byte is written; false means it is not sent
+   * @param timeoutMillis longest wait for the complete response
+   * @param allowed evaluated right before the first byte is written; if false, the request is not
+   *     sent
    */
   public record Spec(
       Address address,
@@ -93,12 +95,12 @@
       long timeoutMillis,
       BooleanSupplier allowed) {
 
-    /** Returns a GET without conditions. */
+    /** Returns a GET request that is always sent. */
     public static Spec get(Address address, String path, long timeoutMillis) {
       return new Spec(address, "GET", path, Map.of(), Payload.EMPTY, timeoutMillis, () -> true);
     }
 
-    /** Returns a POST of JSON text without conditions. */
+    /** Returns a POST request with JSON text that is always sent. */
     public static Spec post(Address address, String path, Payload json, long timeoutMillis) {
       return new Spec(
           address,
@@ -110,34 +112,34 @@
           () -> true);
     }
 
-    /** Returns this request with a condition for sending it. */
+    /** Returns a copy of this request that is sent only if the condition holds. */
     public Spec onlyIf(BooleanSupplier condition) {
       return new Spec(address, method, path, headers, body, timeoutMillis, condition);
     }
   }
 
   /**
-   * Makes a request.
+   * Sends a request.
    *
    * @param spec the request
-   * @param done gets exactly one result, on an event loop
+   * @param done receives exactly one result, on an event loop
    */
   public void call(Spec spec, Consumer<HttpResult> done) {
-    Channel kept = takeIdle(spec.address());
-    if (kept == null) {
+    Channel reused = takeIdle(spec.address());
+    if (reused == null) {
       connect(spec, done);
       return;
     }
-    if (kept.eventLoop().inEventLoop()) {
-      sendKept(kept, spec, done);
+    if (reused.eventLoop().inEventLoop()) {
+      sendReused(reused, spec, done);
     } else {
-      kept.eventLoop().execute(() -> sendKept(kept, spec, done));
+      reused.eventLoop().execute(() -> sendReused(reused, spec, done));
     }
   }
 
-  private void sendKept(Channel kept, Spec spec, Consumer<HttpResult> done) {
-    if (kept.isActive()) {
-      send(kept, spec, done);
+  private void sendReused(Channel reused, Spec spec, Consumer<HttpResult> done) {
+    if (reused.isActive()) {
+      send(reused, spec, done);
     } else {
       connect(spec, done);
     }
@@ -183,7 +185,7 @@
     channel.close();
   }
 
-  private void forget(Address address, Channel channel) {
+  private void removeIdle(Address address, Channel channel) {
     Deque<Channel> channels = idle.get(address);
     if (channels != null) {
       synchronized (channels) {
@@ -193,8 +195,9 @@
   }
 
   /**
-   * Closes the idle connections to an address. One that went silent is rarely alone: without this
-   * each of the next calls would wait out its own time on another dead connection.
+   * Closes the idle connections to an address. When one connection stops responding, the others
+   * usually have failed too, and each of the next requests would wait for its full timeout on
+   * another dead connection.
    */
   private void dropIdle(Address address) {
     Deque<Channel> channels = idle.remove(address);
@@ -212,7 +215,7 @@
     }
     Exchange exchange = channel.pipeline().get(Exchange.class);
     exchange.address = spec.address();
-    // Between the decision and this point the process may have been paused for long.
+    // The process may have been paused for a long time since the caller decided to send.
     if (!spec.allowed().getAsBoolean()) {
       keepIdle(spec.address(), channel);
       done.accept(HttpResult.notSent());
@@ -250,20 +253,20 @@
           .pipeline()
           .addLast(new IdleStateHandler(0, 0, idleMillis, TimeUnit.MILLISECONDS))
           .addLast(new HttpClientCodec());
-      channel.pipeline().addLast(new HttpObjectAggregator(MAX_ANSWER_BYTES));
+      channel.pipeline().addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES));
       channel.pipeline().addLast(new Exchange());
     }
   }
 
-  /** The one request under way on a connection; used on the connection's event loop only. */
+  /** The request in flight on a connection. Used only on the event loop of the connection. */
   private final class Exchange extends SimpleChannelInboundHandler<FullHttpResponse> {
 
-    private Consumer<HttpResult> waiting;
+    private Consumer<HttpResult> callback;
     private Address address;
     private Future<?> timeout;
 
     void begin(Channel channel, Spec spec, Consumer<HttpResult> done) {
-      waiting = done;
+      callback = done;
       timeout =
           channel
               .eventLoop()
@@ -278,22 +281,22 @@
     }
 
     void end(HttpResult result) {
-      if (waiting != null) {
-        taken().accept(result);
+      if (callback != null) {
+        takeCallback().accept(result);
       }
     }
 
-    /** Ends the exchange and returns who waits for its result. */
-    private Consumer<HttpResult> taken() {
-      Consumer<HttpResult> done = waiting;
-      waiting = null;
+    /** Ends the exchange and returns the callback for its result. */
+    private Consumer<HttpResult> takeCallback() {
+      Consumer<HttpResult> done = callback;
+      callback = null;
       timeout.cancel(false);
       return done;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      if (waiting == null || response.decoderResult().isFailure()) {
+      if (callback == null || response.decoderResult().isFailure()) {
         context.close();
         return;
       }
@@ -303,8 +306,9 @@
               response.status().code(),
               lowerCase(response),
               Payload.of(ByteBufUtil.getBytes(response.content())));
-      Consumer<HttpResult> done = taken();
-      // Before the result is told: whoever gets it often makes the next call at once.
+      Consumer<HttpResult> done = takeCallback();
+      // The connection is returned to the pool before the callback runs, because the callback often
+      // sends the next request at once.
       if (HttpUtil.isKeepAlive(response)) {
         keepIdle(address, context.channel());
       } else {
@@ -325,14 +329,14 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (address != null) {
-        forget(address, context.channel());
+        removeIdle(address, context.channel());
       }
       end(HttpResult.lost());
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
-      if (event instanceof IdleStateEvent && waiting == null) {
+      if (event instanceof IdleStateEvent && callback == null) {
         context.close();
       }
     }
--- a/adapters/src/main/java/org/cottontack/adapters/http/HttpResult.java
+++ b/adapters/src/main/java/org/cottontack/adapters/http/HttpResult.java
@@ -4,22 +4,22 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * What became of a request made by {@link HttpClient}.
+ * The result of a request sent by {@link HttpClient}.
  *
- * @param outcome how it ended
- * @param status the HTTP status when answered, otherwise 0
- * @param headers headers in lower case when answered
- * @param body the whole body when answered
+ * @param outcome how the request ended
+ * @param status the HTTP status if the request was answered, otherwise 0
+ * @param headers the headers, with names in lower case, if the request was answered
+ * @param body the complete body if the request was answered
  */
 public record HttpResult(Outcome outcome, int status, Map<String, String> headers, Payload body) {
 
   /** How a request ended. */
   public enum Outcome {
-    /** A whole answer came. */
+    /** A complete response was received. */
     ANSWERED,
-    /** No byte of the request left this process. */
+    /** No byte of the request was sent. */
     NOT_SENT,
-    /** Some of the request may have left, and no whole answer came. */
+    /** Part of the request may have been sent, and no complete response was received. */
     LOST
   }
 
@@ -31,12 +31,12 @@
     return new HttpResult(Outcome.LOST, 0, Map.of(), Payload.EMPTY);
   }
 
-  /** Returns whether a whole answer with this status came. */
+  /** Returns whether a complete response with this status was received. */
   public boolean is(int wanted) {
     return outcome == Outcome.ANSWERED && status == wanted;
   }
 
-  /** Returns the body read as UTF-8. */
+  /** Returns the body decoded as UTF-8. */
   public String text() {
     return body.text();
   }
--- a/adapters/src/main/java/org/cottontack/adapters/http/HttpServer.java
+++ b/adapters/src/main/java/org/cottontack/adapters/http/HttpServer.java
@@ -20,7 +20,7 @@
 import org.cottontack.adapters.AdapterException;
 import org.cottontack.adapters.Address;
 
-/** Listens for HTTP/1.1 and hands each whole request to a handler. */
+/** An HTTP/1.1 server that passes each complete request to a handler. */
 public final class HttpServer implements AutoCloseable {
 
   private static final int MAX_BODY_BYTES = 1 << 20;
@@ -28,24 +28,24 @@
   private static final int BACKLOG = 1_024;
 
   private final Channel channel;
-  private final Open open;
+  private final OpenCalls openCalls;
 
-  private HttpServer(Channel channel, Open open) {
+  private HttpServer(Channel channel, OpenCalls openCalls) {
     this.channel = channel;
-    this.open = open;
+    this.openCalls = openCalls;
   }
 
-  /** What is open at a server. */
-  static final class Open {
-    private final AtomicInteger calls = new AtomicInteger();
+  /** Counts the unanswered requests of a server and records whether it is closing. */
+  static final class OpenCalls {
+    private final AtomicInteger count = new AtomicInteger();
     private volatile boolean closing;
 
-    void began() {
-      calls.incrementAndGet();
+    void started() {
+      count.incrementAndGet();
     }
 
-    void ended() {
-      calls.decrementAndGet();
+    void finished() {
+      count.decrementAndGet();
     }
 
     boolean closing() {
@@ -54,24 +54,24 @@
   }
 
   /**
-   * Starts to listen.
+   * Starts a server.
    *
    * @param group event loops; the handler runs on them and must not block
-   * @param address where to listen
-   * @param handler gets each whole request
-   * @throws AdapterException with {@link AdapterException.Code#CANNOT_LISTEN} when the address is
-   *     taken or not ours
+   * @param address the address to listen on
+   * @param handler receives each complete request
+   * @throws AdapterException with {@link AdapterException.Code#CANNOT_LISTEN} if the address is in
+   *     use or does not belong to this machine
    */
   public static HttpServer listen(
       EventLoopGroup group, Address address, Consumer<HttpCall> handler) {
-    Open open = new Open();
+    OpenCalls openCalls = new OpenCalls();
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new Pipeline(handler, open));
+            .childHandler(new Pipeline(handler, openCalls));
     var bound = bootstrap.bind(address.socket()).awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new AdapterException(
@@ -79,26 +79,26 @@
           "cannot listen on " + address + ": " + bound.cause().getMessage(),
           bound.cause());
     }
-    return new HttpServer(bound.channel(), open);
+    return new HttpServer(bound.channel(), openCalls);
   }
 
-  /** Returns the address it listens on. */
+  /** Returns the address that this server listens on. */
   public Address address() {
     InetSocketAddress local = (InetSocketAddress) channel.localAddress();
     return new Address(local.getAddress().getHostAddress(), local.getPort());
   }
 
   /**
-   * Ends each connection with the next answer on it. A caller would otherwise go on using it until
-   * the process ends, and lose the answer to what it sent last.
+   * Closes each connection after the next response on it. Otherwise callers would use their
+   * connections until the process ends and lose the responses to their last requests.
    */
   public void drain() {
-    open.closing = true;
+    openCalls.closing = true;
   }
 
-  /** Returns the number of requests that have no answer yet. */
+  /** Returns the number of requests that have not been answered yet. */
   public int unanswered() {
-    return open.calls.get();
+    return openCalls.count.get();
   }
 
   @Override
@@ -109,11 +109,11 @@
   private static final class Pipeline extends ChannelInitializer<SocketChannel> {
 
     private final Consumer<HttpCall> handler;
-    private final Open open;
+    private final OpenCalls openCalls;
 
-    Pipeline(Consumer<HttpCall> handler, Open open) {
+    Pipeline(Consumer<HttpCall> handler, OpenCalls openCalls) {
       this.handler = handler;
-      this.open = open;
+      this.openCalls = openCalls;
     }
 
     @Override
@@ -122,27 +122,27 @@
       pipeline.addLast(new IdleStateHandler(0, 0, IDLE_SECONDS));
       pipeline.addLast(new HttpServerCodec());
       pipeline.addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
-      pipeline.addLast(new Calls(handler, open));
+      pipeline.addLast(new CallHandler(handler, openCalls));
     }
   }
 
-  private static final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private static final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final String MALFORMED =
         "{\"code\":\"bad_request\",\"ran\":\"not_run\","
             + "\"message\":\"this is not an HTTP/1.1 request\"}";
 
     private final Consumer<HttpCall> handler;
-    private final Open open;
+    private final OpenCalls openCalls;
 
-    Calls(Consumer<HttpCall> handler, Open open) {
+    CallHandler(Consumer<HttpCall> handler, OpenCalls openCalls) {
       this.handler = handler;
-      this.open = open;
+      this.openCalls = openCalls;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      HttpCall call = new HttpCall(context, request, open);
+      HttpCall call = new HttpCall(context, request, openCalls);
       if (request.decoderResult().isFailure()) {
         call.json(400, MALFORMED);
         context.close();
--- a/adapters/src/main/java/org/cottontack/adapters/http/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/http/package-info.java
@@ -1,2 +1,2 @@
-/** A small HTTP server and client on Netty's codec. */
+/** A small HTTP server and client that use Netty's codec. */
 package org.cottontack.adapters.http;
--- a/adapters/src/main/java/org/cottontack/adapters/json/Json.java
+++ b/adapters/src/main/java/org/cottontack/adapters/json/Json.java
@@ -33,7 +33,10 @@
 import org.cottontack.core.peer.Payload;
 import org.cottontack.core.store.StoreKey;
 
-/** The one JSON mapper: identifiers are plain text, payloads base64, unknown fields are refused. */
+/**
+ * The JSON mapper that all modules share. Identifiers are plain text, payloads are base64, and
+ * unknown fields are rejected.
+ */
 public final class Json {
 
   private static final ObjectMapper MAPPER = configure(JsonMapper.builder());
@@ -45,7 +48,7 @@
     return MAPPER;
   }
 
-  /** Applies the project's conventions to a builder of any format. */
+  /** Applies the conventions of this project to a mapper builder of any format. */
   public static <M extends ObjectMapper> M configure(MapperBuilder<M, ?> builder) {
     return builder
         .addModule(module())
@@ -58,7 +61,7 @@
         .build();
   }
 
-  /** Returns JSON text. */
+  /** Returns a value as JSON text. */
   public static String write(Object value) {
     try {
       return MAPPER.writeValueAsString(value);
@@ -67,16 +70,16 @@
     }
   }
 
-  /** Returns JSON text as a payload. */
+  /** Returns a value as a payload of JSON text. */
   public static Payload payload(Object value) {
     return Payload.of(write(value));
   }
 
   /**
-   * Reads JSON text.
+   * Parses JSON text.
    *
-   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} when it is not of the
-   *     type
+   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} if the text cannot be
+   *     mapped to the type
    */
   public static <T> T read(String text, Class<T> type) {
     try {
@@ -87,9 +90,9 @@
   }
 
   /**
-   * Reads JSON text as a tree.
+   * Parses JSON text as a tree.
    *
-   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} when it is no JSON
+   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} if the text is not JSON
    */
   public static JsonNode tree(String text) {
     try {
@@ -99,15 +102,16 @@
     }
   }
 
-  /** Returns a fault of the parser as one line with its place. */
-  public static String oneLine(JsonProcessingException fault) {
-    String place =
-        fault.getLocation() == null
+  /** Returns the message of a parser exception as one line, with the location of the error. */
+  public static String oneLine(JsonProcessingException exception) {
+    String location =
+        exception.getLocation() == null
             ? ""
             : "line %d, column %d: "
-                .formatted(fault.getLocation().getLineNr(), fault.getLocation().getColumnNr());
-    String problem = fault.getOriginalMessage().lines().findFirst().orElse("not readable");
-    return place + (problem.startsWith("Cannot map `null`") ? "a number is missing" : problem);
+                .formatted(
+                    exception.getLocation().getLineNr(), exception.getLocation().getColumnNr());
+    String problem = exception.getOriginalMessage().lines().findFirst().orElse("not readable");
+    return location + (problem.startsWith("Cannot map `null`") ? "a number is missing" : problem);
   }
 
   private static SimpleModule module() {
@@ -122,22 +126,22 @@
     id(module, TeamId.class, TeamId::new);
     id(module, WorkerId.class, WorkerId::new);
     id(module, StoreKey.class, StoreKey::new);
-    module.addSerializer(Payload.class, new PayloadWriter());
-    module.addDeserializer(Payload.class, new PayloadReader());
+    module.addSerializer(Payload.class, new PayloadSerializer());
+    module.addDeserializer(Payload.class, new PayloadDeserializer());
     return module;
   }
 
   private static <T> void id(SimpleModule module, Class<T> type, Function<String, T> create) {
     module.addSerializer(type, ToStringSerializer.instance);
-    module.addDeserializer(type, new TextReader<>(create));
-    module.addKeyDeserializer(type, new KeyReader<>(create));
+    module.addDeserializer(type, new IdDeserializer<>(create));
+    module.addKeyDeserializer(type, new IdKeyDeserializer<>(create));
   }
 
-  private static final class TextReader<T> extends JsonDeserializer<T> {
+  private static final class IdDeserializer<T> extends JsonDeserializer<T> {
 
     private final Function<String, T> create;
 
-    TextReader(Function<String, T> create) {
+    IdDeserializer(Function<String, T> create) {
       this.create = create;
     }
 
@@ -151,11 +155,11 @@
     }
   }
 
-  private static final class KeyReader<T> extends KeyDeserializer {
+  private static final class IdKeyDeserializer<T> extends KeyDeserializer {
 
     private final Function<String, T> create;
 
-    KeyReader(Function<String, T> create) {
+    IdKeyDeserializer(Function<String, T> create) {
       this.create = create;
     }
 
@@ -165,7 +169,7 @@
     }
   }
 
-  private static final class PayloadWriter extends JsonSerializer<Payload> {
+  private static final class PayloadSerializer extends JsonSerializer<Payload> {
     @Override
     public void serialize(Payload value, JsonGenerator generator, SerializerProvider provider)
         throws IOException {
@@ -173,7 +177,7 @@
     }
   }
 
-  private static final class PayloadReader extends JsonDeserializer<Payload> {
+  private static final class PayloadDeserializer extends JsonDeserializer<Payload> {
     @Override
     public Payload deserialize(JsonParser parser, DeserializationContext context)
         throws IOException {
--- a/adapters/src/main/java/org/cottontack/adapters/json/ValueKind.java
+++ b/adapters/src/main/java/org/cottontack/adapters/json/ValueKind.java
@@ -11,17 +11,17 @@
 import org.cottontack.core.table.TableRecord;
 import org.cottontack.core.task.TaskRecord;
 
-/** The kinds of content a row can have, each with its type. */
+/** The kinds of values that a row of the store can hold, each with its Java type. */
 public enum ValueKind {
-  /** A lease of an entry instance. */
+  /** The lease of an entry instance. */
   LEASE(LeaseRecord.class),
-  /** Members of a data centre. */
+  /** The members of a data centre. */
   ASSIGNMENT(AssignmentRecord.class),
   /** A claim on a request. */
   CLAIM(ClaimRecord.class),
   /** The operators' table. */
   TABLE(TableRecord.class),
-  /** Which version of the table is in force. */
+  /** The version of the table that is in force. */
   TABLE_POINTER(TablePointer.class),
   /** A task. */
   TASK(TaskRecord.class);
@@ -32,17 +32,17 @@
     this.type = type;
   }
 
-  /** Returns the type of the content. */
+  /** Returns the Java type of the value. */
   public Class<? extends StoredValue> type() {
     return type;
   }
 
-  /** Returns the word stored beside the content. */
+  /** Returns the name of the kind that is stored beside the value. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns the kind of some content. */
+  /** Returns the kind of a value. */
   public static ValueKind of(StoredValue value) {
     return Stream.of(values())
         .filter(kind -> kind.type.isInstance(value))
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Returns the kind for a stored word.
+   * Returns the kind with a stored name.
    *
-   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} for an unknown word
+   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} for an unknown name
    */
   public static ValueKind forWord(String word) {
     return Stream.of(values())
--- a/adapters/src/main/java/org/cottontack/adapters/json/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/json/package-info.java
@@ -1,2 +1,2 @@
-/** JSON forms of what the platform's table service keeps. */
+/** JSON mapping of the values stored in the platform's table service. */
 package org.cottontack.adapters.json;
--- a/adapters/src/main/java/org/cottontack/adapters/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/package-info.java
@@ -1,2 +1,2 @@
-/** Adapters between the core's effects and events and the outside. */
+/** Adapters between the effects and events of the core and external systems. */
 package org.cottontack.adapters;
--- a/adapters/src/main/java/org/cottontack/adapters/peer/PeerTransport.java
+++ b/adapters/src/main/java/org/cottontack/adapters/peer/PeerTransport.java
@@ -34,8 +34,9 @@
 import org.cottontack.wire.generated.Envelope;
 
 /**
- * Messages to and from other entry instances: one outgoing connection to each, length-prefixed
- * protobuf. A message is sent at most once; a lost connection is told to the core.
+ * Exchanges messages with other entry instances as length-prefixed protobuf, over one outgoing
+ * connection to each instance. A message is sent at most once. Lost connections are reported to the
+ * core.
  */
 public final class PeerTransport implements AutoCloseable {
 
@@ -44,35 +45,37 @@
   private final EventLoopGroup group;
   private final Supplier<InstanceId> self;
   private final Address advertised;
-  private final LongSupplier stamp;
-  private final LongConsumer witness;
+  private final LongSupplier timestamps;
+  private final LongConsumer timestampListener;
   private final Consumer<Event> events;
   private final Map<String, ChannelFuture> outgoing = new ConcurrentHashMap<>();
   private final Channel server;
 
   /**
-   * Starts to listen.
+   * Starts listening for messages.
    *
    * @param group event loops
-   * @param address where to listen, and what others are told to answer to
-   * @param self this incarnation at the time of sending
-   * @param stamp the time stamp of an outgoing message
-   * @param witness gets the time stamp of each incoming message
-   * @param events gets messages and losses
-   * @throws AdapterException with {@link AdapterException.Code#CANNOT_LISTEN}
+   * @param address the address to listen on, which is also sent to other instances as the address
+   *     for replies
+   * @param self supplies the incarnation of this instance at the time of sending
+   * @param timestamps supplies the timestamp of each outgoing message
+   * @param timestampListener receives the timestamp of each incoming message
+   * @param events receives messages, undelivered messages and lost connections
+   * @throws AdapterException with {@link AdapterException.Code#CANNOT_LISTEN} if the server cannot
+   *     listen on the address
    */
   public PeerTransport(
       EventLoopGroup group,
       Address address,
       Supplier<InstanceId> self,
-      LongSupplier stamp,
-      LongConsumer witness,
+      LongSupplier timestamps,
+      LongConsumer timestampListener,
       Consumer<Event> events) {
     this.group = group;
     this.advertised = address;
     this.self = self;
-    this.stamp = stamp;
-    this.witness = witness;
+    this.timestamps = timestamps;
+    this.timestampListener = timestampListener;
     this.events = events;
     this.server = listen(address);
   }
@@ -95,7 +98,7 @@
     return bound.channel();
   }
 
-  /** Sends a message, connecting first if need be. */
+  /** Sends a message and connects first if there is no connection. */
   public void send(String address, PeerMessage message) {
     outgoing
         .computeIfAbsent(address, this::connect)
@@ -137,7 +140,7 @@
         Envelope.newBuilder()
             .setFrom(self.get().value())
             .setAddress(advertised.toString())
-            .setClock(stamp.getAsLong());
+            .setClock(timestamps.getAsLong());
     PeerCodec.write(envelope, message);
     channel.writeAndFlush(envelope.build());
   }
@@ -175,7 +178,7 @@
     protected void channelRead0(ChannelHandlerContext context, Envelope envelope) {
       try {
         PeerMessage message = PeerCodec.read(envelope);
-        witness.accept(envelope.getClock());
+        timestampListener.accept(envelope.getClock());
         events.accept(
             new PeerEvent.Received(
                 new InstanceId(envelope.getFrom()), envelope.getAddress(), message));
--- a/adapters/src/main/java/org/cottontack/adapters/peer/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Other entry instances over TCP with protobuf. */
+/** Messages between entry instances over TCP, encoded with protobuf. */
 package org.cottontack.adapters.peer;
--- a/adapters/src/main/java/org/cottontack/adapters/request/HttpEndpoints.java
+++ b/adapters/src/main/java/org/cottontack/adapters/request/HttpEndpoints.java
@@ -19,20 +19,23 @@
 import org.cottontack.core.request.RequestEvent;
 
 /**
- * Endpoints over HTTP: {@code POST /v1/run} with the attempt in a header that the answer repeats,
- * {@code GET /v1/running} for the attempts under way.
+ * Sends requests to endpoints over HTTP. {@code POST /v1/run} carries the attempt in a header that
+ * the response repeats, and {@code GET /v1/running} lists the attempts in progress.
  */
 public final class HttpEndpoints {
 
-  /** The header that ties an answer to its attempt. */
+  /** The header that associates a response with its attempt. */
   public static final String ATTEMPT = "x-cottontack-attempt";
 
   /** The header that names the row. */
   public static final String ROW = "x-cottontack-row";
 
-  private static final long PROBE_MILLIS = 1_000;
+  private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
-  /** An endpoint that never answers frees its connection after this; the slot stays taken. */
+  /**
+   * Time beyond the deadline of a request after which its connection is closed, in milliseconds.
+   * The slot of an endpoint that never answers stays occupied.
+   */
   private static final long GRACE_MILLIS = 30_000;
 
   private final HttpClient client;
@@ -42,9 +45,9 @@
   /**
    * Creates the adapter.
    *
-   * @param client makes the calls
+   * @param client sends the requests
    * @param clock the process's monotonic clock in milliseconds
-   * @param events gets the answers
+   * @param events receives the responses
    */
   public HttpEndpoints(HttpClient client, LongSupplier clock, Consumer<Event> events) {
     this.client = client;
@@ -55,11 +58,11 @@
   /**
    * The body of {@code GET /v1/running}.
    *
-   * @param running attempts under way
+   * @param running the attempts in progress
    */
   public record Running(List<AttemptId> running) {}
 
-  /** Sends a request; what becomes of it comes as an event. */
+  /** Sends a request, whose outcome is delivered as an event. */
   public void dispatch(RequestEffect.Dispatch order) {
     Map<String, String> headers =
         Map.of(
@@ -81,18 +84,21 @@
     client.call(spec, result -> events.accept(outcome(order.attempt(), result)));
   }
 
-  /** An answer that does not repeat the attempt belongs to something else and proves nothing. */
+  /**
+   * Returns the event for a result. A response that does not repeat the attempt does not belong to
+   * it and is treated as a failure, because it does not prove what became of the attempt.
+   */
   private static Event outcome(AttemptId attempt, HttpResult result) {
-    boolean ours = attempt.value().equals(result.headers().get(ATTEMPT));
-    return result.outcome() == HttpResult.Outcome.ANSWERED && ours
+    boolean attemptMatches = attempt.value().equals(result.headers().get(ATTEMPT));
+    return result.outcome() == HttpResult.Outcome.ANSWERED && attemptMatches
         ? new RequestEvent.EndpointAnswered(attempt, result.status(), result.body())
         : new RequestEvent.EndpointFailed(attempt, result.outcome() != HttpResult.Outcome.NOT_SENT);
   }
 
-  /** Asks an endpoint what it runs. */
+  /** Requests the list of attempts that an endpoint is running. */
   public void probe(FleetEffect.ProbeEndpoint probe) {
     client.call(
-        HttpClient.Spec.get(Address.parse(probe.address()), "/v1/running", PROBE_MILLIS),
+        HttpClient.Spec.get(Address.parse(probe.address()), "/v1/running", PROBE_TIMEOUT_MILLIS),
         result -> probed(probe, result));
   }
 
@@ -106,7 +112,7 @@
               .collect(Collectors.toUnmodifiableSet());
       events.accept(new FleetEvent.EndpointReported(probe.endpoint(), probe.askedAt(), running));
     } catch (AdapterException e) {
-      // Without a readable report the slots stay taken; the next probe asks again.
+      // Without a readable report the slots stay occupied until a later probe succeeds.
       return;
     }
   }
--- a/adapters/src/main/java/org/cottontack/adapters/request/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/request/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints over HTTP. */
+/** Requests to endpoints over HTTP. */
 package org.cottontack.adapters.request;
--- a/adapters/src/main/java/org/cottontack/adapters/store/HttpTableService.java
+++ b/adapters/src/main/java/org/cottontack/adapters/store/HttpTableService.java
@@ -14,10 +14,11 @@
 import org.cottontack.core.store.StoreEvent;
 
 /**
- * The platform's transactional table service over HTTP.
+ * Client of the platform's transactional table service over HTTP.
  *
- * <p>What the core relies on: a transaction takes effect whole or not at all; a scan is one
- * consistent snapshot; versions of a row count up by one. Any answer may be lost.
+ * <p>The core relies on these guarantees: a transaction is applied completely or not at all, a scan
+ * returns one consistent snapshot, and each change of a row increments its version by one. Any
+ * response may be lost.
  */
 public final class HttpTableService {
 
@@ -32,10 +33,10 @@
   /**
    * Creates the adapter.
    *
-   * @param client makes the calls
+   * @param client sends the requests
    * @param address the table service
-   * @param timeoutMillis longest wait for an answer
-   * @param events gets the answers
+   * @param timeoutMillis longest wait for a response
+   * @param events receives the responses
    */
   public HttpTableService(
       HttpClient client, Address address, long timeoutMillis, Consumer<Event> events) {
@@ -45,7 +46,7 @@
     this.events = events;
   }
 
-  /** Commits a transaction; the answer comes as an event. */
+  /** Commits a transaction, whose outcome is delivered as an event. */
   public void commit(StoreEffect.Commit commit) {
     Payload body = Json.payload(StoreMessages.transaction(commit.writes()));
     client.call(
@@ -67,7 +68,7 @@
     return new StoreEvent.Unanswered(batch);
   }
 
-  /** Reads rows; they come as an event. */
+  /** Reads the rows with a prefix, which are delivered as an event. */
   public void scan(StoreEffect.Scan scan) {
     String prefix = URLEncoder.encode(scan.prefix(), StandardCharsets.UTF_8);
     client.call(
--- a/adapters/src/main/java/org/cottontack/adapters/store/StoreMessages.java
+++ b/adapters/src/main/java/org/cottontack/adapters/store/StoreMessages.java
@@ -10,7 +10,7 @@
 import org.cottontack.core.store.StoredValue;
 import org.cottontack.core.store.Write;
 
-/** JSON bodies of the table service's interface. */
+/** JSON bodies of the requests and responses of the table service. */
 public final class StoreMessages {
 
   private StoreMessages() {}
@@ -18,19 +18,19 @@
   /**
    * A transaction.
    *
-   * @param changes take effect together or not at all
+   * @param changes the changes, which are applied together or not at all
    */
   public record Transaction(List<Change> changes) {}
 
   /**
    * A conditional change of one row.
    *
-   * @param key the row
-   * @param expectedVersion the version it must have
+   * @param key the key of the row
+   * @param expectedVersion the version that the row must have
    * @param action put, delete or check
-   * @param writeId stored with the row
-   * @param kind kind of the content, or null
-   * @param value content, or null
+   * @param writeId the identifier of the write, stored with the row
+   * @param kind the kind of the value, or null
+   * @param value the value, or null
    */
   public record Change(
       String key,
@@ -41,7 +41,7 @@
       JsonNode value) {}
 
   /**
-   * Rows as they stand.
+   * The current rows.
    *
    * @param rows the rows
    */
@@ -50,11 +50,11 @@
   /**
    * One row.
    *
-   * @param key its name
-   * @param version its version, 0 when absent
-   * @param writeId the write that made it
-   * @param kind kind of the content, or null when absent
-   * @param value content, or null when absent
+   * @param key the key
+   * @param version the version, or 0 if the row does not exist
+   * @param writeId the identifier of the write that produced this version
+   * @param kind the kind of the value, or null if the row does not exist
+   * @param value the value, or null if the row does not exist
    */
   public record StoredRow(String key, long version, String writeId, String kind, JsonNode value) {}
 
--- a/adapters/src/main/java/org/cottontack/adapters/store/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/store/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's table service over HTTP. */
+/** Access to the platform's table service over HTTP. */
 package org.cottontack.adapters.store;
--- a/adapters/src/main/java/org/cottontack/adapters/table/TableText.java
+++ b/adapters/src/main/java/org/cottontack/adapters/table/TableText.java
@@ -18,7 +18,9 @@
 import org.cottontack.core.table.TeamSpec;
 import org.cottontack.core.task.Demand;
 
-/** The operators' table as text: YAML, of which JSON is a part. */
+/**
+ * Reads and writes the operators' table as YAML. JSON is accepted because it is a subset of YAML.
+ */
 public final class TableText {
 
   private static final YAMLMapper YAML =
@@ -27,19 +29,19 @@
   private TableText() {}
 
   /**
-   * One row as operators write it. Columns that do not matter for its kind may be left out.
+   * One row as operators write it. Columns that do not apply to its kind may be omitted.
    *
-   * @param name unique name
+   * @param name the unique name
    * @param kind service or batch
-   * @param team team
-   * @param weight share by day
-   * @param nightWeight share by night, the same as by day when left out
-   * @param idempotent whether it may safely run twice, no when left out
-   * @param targetMillis for a service, expected latency
-   * @param deadlineMillis longest time to an answer or an end
-   * @param maxInFlight most at once
-   * @param demand for batch, declared need
-   * @param urgent for batch, whether it goes before others
+   * @param team the team
+   * @param weight the share by day
+   * @param nightWeight the share by night; defaults to the share by day
+   * @param idempotent whether the work may safely run twice; defaults to false
+   * @param targetMillis the expected latency of a service
+   * @param deadlineMillis the longest time until a response or the end of the work
+   * @param maxInFlight the maximum number in progress at the same time
+   * @param demand the declared resources of batch work
+   * @param urgent whether batch work is started before other batch work
    */
   record RowText(
       RowName name,
@@ -83,8 +85,8 @@
   /**
    * The whole table as operators write it.
    *
-   * @param nightFromHour hour in UTC at which night weights begin, 0 when left out
-   * @param nightToHour hour in UTC at which they end, 0 when left out
+   * @param nightFromHour the hour in UTC at which night weights begin to apply; defaults to 0
+   * @param nightToHour the hour in UTC at which they cease to apply; defaults to 0
    * @param teams all teams
    * @param rows all rows
    */
@@ -92,10 +94,10 @@
       Integer nightFromHour, Integer nightToHour, List<TeamSpec> teams, List<RowText> rows) {}
 
   /**
-   * Reads a table.
+   * Parses a table.
    *
-   * @throws AdapterException with {@link AdapterException.Code#MALFORMED}; its message names line,
-   *     column and field
+   * @throws AdapterException with {@link AdapterException.Code#MALFORMED} if the text is not a
+   *     valid table; the message names line, column and field
    */
   public static TableContent read(String text) {
     try {
@@ -110,12 +112,13 @@
           parsed.teams(),
           parsed.rows().stream().map(RowText::spec).toList());
     } catch (JsonProcessingException e) {
-      throw new AdapterException(AdapterException.Code.MALFORMED, place(e) + Json.oneLine(e), e);
+      throw new AdapterException(
+          AdapterException.Code.MALFORMED, fieldPath(e) + Json.oneLine(e), e);
     }
   }
 
-  private static String place(JsonProcessingException fault) {
-    if (!(fault instanceof JsonMappingException mapping) || mapping.getPath().isEmpty()) {
+  private static String fieldPath(JsonProcessingException exception) {
+    if (!(exception instanceof JsonMappingException mapping) || mapping.getPath().isEmpty()) {
       return "";
     }
     return mapping.getPath().stream()
@@ -124,7 +127,7 @@
         + ", ";
   }
 
-  /** Writes a table as YAML, rows and teams sorted by name. */
+  /** Returns a table as YAML, with rows and teams sorted by name. */
   public static String write(TableContent table) {
     TableContent sorted =
         new TableContent(
--- a/adapters/src/main/java/org/cottontack/adapters/table/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/table/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' table as YAML or JSON text. */
+/** Conversion of the operators' table from and to YAML or JSON text. */
 package org.cottontack.adapters.table;
--- a/adapters/src/main/java/org/cottontack/adapters/task/HttpWorkers.java
+++ b/adapters/src/main/java/org/cottontack/adapters/task/HttpWorkers.java
@@ -13,7 +13,10 @@
 import org.cottontack.core.task.TaskEffect;
 import org.cottontack.core.task.WorkerEvent;
 
-/** Workers over HTTP. Every order may be lost or answered late; all of them are idempotent. */
+/**
+ * Sends orders to workers over HTTP. Any order may be lost or answered late. All orders are
+ * idempotent.
+ */
 public final class HttpWorkers {
 
   private static final long TIMEOUT_MILLIS = 2_000;
@@ -25,9 +28,9 @@
   /**
    * Creates the adapter.
    *
-   * @param client makes the calls
+   * @param client sends the requests
    * @param clock the process's monotonic clock in milliseconds
-   * @param events gets the answers
+   * @param events receives the responses
    */
   public HttpWorkers(HttpClient client, LongSupplier clock, Consumer<Event> events) {
     this.client = client;
@@ -35,7 +38,7 @@
     this.events = events;
   }
 
-  /** Polls a worker and renews leases; its report comes as an event. */
+  /** Polls a worker and renews its leases. The report is delivered as an event. */
   public void poll(TaskEffect.PollWorker poll) {
     WorkerMessages.Poll body =
         new WorkerMessages.Poll(
@@ -67,7 +70,7 @@
               report.clock(),
               report.runs().stream().map(HttpWorkers::runReport).toList()));
     } catch (AdapterException e) {
-      // An unreadable report counts as silence, which is the safe reading.
+      // An unreadable report is treated as no report, which is the safe assumption.
       return;
     }
   }
@@ -81,7 +84,10 @@
         state.outcome());
   }
 
-  /** Orders a start; a clear answer comes as an event, a lost one shows in later reports. */
+  /**
+   * Orders a worker to start a run. A readable response is delivered as an event. If the response
+   * is lost, later reports show whether the run started.
+   */
   public void start(TaskEffect.StartRun order) {
     WorkerMessages.Start body =
         new WorkerMessages.Start(
@@ -105,17 +111,17 @@
       return;
     }
     try {
-      WorkerMessages.Started answer = Json.read(result.text(), WorkerMessages.Started.class);
+      WorkerMessages.Started response = Json.read(result.text(), WorkerMessages.Started.class);
       events.accept(
           new WorkerEvent.StartAnswered(
-              order.worker(), order.run(), answer.accepted(), answer.reason()));
+              order.worker(), order.run(), response.accepted(), response.reason()));
     } catch (AdapterException e) {
-      // Counts as a lost answer: the worker's reports will tell.
+      // Treated as a lost response: the worker's reports will show whether the run started.
       return;
     }
   }
 
-  /** Orders a stop; the worker's reports tell when it took effect. */
+  /** Orders a worker to stop a run. The worker's reports show when the run has stopped. */
   public void stop(TaskEffect.StopRun order) {
     WorkerMessages.Attempt body =
         new WorkerMessages.Attempt(order.run().task(), order.run().attempt());
--- a/adapters/src/main/java/org/cottontack/adapters/task/WorkerMessages.java
+++ b/adapters/src/main/java/org/cottontack/adapters/task/WorkerMessages.java
@@ -6,7 +6,7 @@
 import org.cottontack.core.task.Demand;
 import org.cottontack.core.task.RunReport;
 
-/** JSON bodies of the workers' interface. */
+/** JSON bodies of the requests to workers and of their responses. */
 public final class WorkerMessages {
 
   private WorkerMessages() {}
@@ -14,34 +14,34 @@
   /**
    * Body of {@code POST /v1/poll}.
    *
-   * @param renew attempts whose leases are renewed
-   * @param forget ended attempts that need not be reported again
+   * @param renew the attempts whose leases are renewed
+   * @param forget the completed attempts that the worker need not report again
    */
   public record Poll(List<Renew> renew, List<Attempt> forget) {}
 
   /**
-   * A renewal.
+   * The renewal of a lease.
    *
    * @param task the task
-   * @param attempt its attempt
-   * @param leaseMillis how long it may run from receipt
+   * @param attempt the attempt of the task
+   * @param leaseMillis how long the attempt may run after the worker receives the renewal
    */
   public record Renew(TaskId task, int attempt, long leaseMillis) {}
 
   /**
-   * An attempt.
+   * An attempt of a task.
    *
    * @param task the task
-   * @param attempt its attempt
+   * @param attempt the attempt of the task
    */
   public record Attempt(TaskId task, int attempt) {}
 
   /**
-   * Answer to a poll.
+   * Response to a poll.
    *
-   * @param boot the worker's boot
-   * @param clock its monotonic clock in milliseconds
-   * @param runs every attempt it has
+   * @param boot the identifier of the worker's boot
+   * @param clock the worker's monotonic clock in milliseconds
+   * @param runs all attempts that the worker holds
    */
   public record Report(String boot, long clock, List<RunState> runs) {}
 
@@ -49,11 +49,11 @@
    * One attempt in a report.
    *
    * @param task the task
-   * @param attempt its attempt
-   * @param status how it is doing
-   * @param usage what it uses
-   * @param checkpoint newest complete checkpoint, or null
-   * @param outcome result or reason, or null
+   * @param attempt the attempt of the task
+   * @param status the status of the attempt
+   * @param usage the resources that the attempt uses
+   * @param checkpoint the newest complete checkpoint, or null
+   * @param outcome the result, or the reason why there is none, or null
    */
   public record RunState(
       TaskId task,
@@ -67,14 +67,14 @@
    * Body of {@code POST /v1/start}; idempotent for the same attempt.
    *
    * @param task the task
-   * @param attempt its attempt
-   * @param boot the boot it is for
-   * @param expiresAt the worker's clock from which it refuses the order
-   * @param row the row
-   * @param input what it works on
-   * @param checkpoint where to resume, or null
-   * @param demand what it may use
-   * @param leaseMillis how long it may run without a renewal
+   * @param attempt the attempt of the task
+   * @param boot the boot of the worker that the order is for
+   * @param expiresAt the reading of the worker's clock from which on the worker refuses the order
+   * @param row the row of the table
+   * @param input the input of the task
+   * @param checkpoint the checkpoint to resume from, or null
+   * @param demand the resources that the attempt may use
+   * @param leaseMillis how long the attempt may run without a renewal
    */
   public record Start(
       TaskId task,
@@ -88,10 +88,10 @@
       long leaseMillis) {}
 
   /**
-   * Answer to a start order.
+   * Response to a start order.
    *
-   * @param accepted whether the attempt runs or ran here
-   * @param reason why not, or null
+   * @param accepted whether the attempt is running or has run on this worker
+   * @param reason the reason of a refusal, or null
    */
   public record Started(boolean accepted, String reason) {}
 }
--- a/adapters/src/main/java/org/cottontack/adapters/task/package-info.java
+++ b/adapters/src/main/java/org/cottontack/adapters/task/package-info.java
@@ -1,2 +1,2 @@
-/** Workers over HTTP. */
+/** Orders to workers over HTTP. */
 package org.cottontack.adapters.task;
--- a/adapters/src/test/java/org/cottontack/adapters/http/HttpClientTest.java
+++ b/adapters/src/test/java/org/cottontack/adapters/http/HttpClientTest.java
@@ -28,100 +28,103 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The HTTP client over real sockets. */
+/** Tests {@link HttpClient} over real sockets. */
 public final class HttpClientTest {
 
   private HttpClientTest() {}
 
-  /** Connections that are kept to a worker, which takes a limited number of them. */
-  public static final class KeptConnections {
+  /** Pooled connections to a worker that accepts a limited number of them. */
+  public static final class PooledConnections {
 
-    private static final int CHANNELS = 64;
+    private static final int MAX_CONNECTIONS = 64;
     private static final int LEADERS = 4;
     private static final long IDLE_MILLIS = 1_000;
-    private static final long ORDER_MILLIS = 900;
-    private static final long PATIENCE_SECONDS = 10;
+    private static final long ORDER_TIMEOUT_MILLIS = 900;
+    private static final long WAIT_SECONDS = 10;
 
     private EventLoopGroup group;
     private Worker worker;
 
-    /** Starts a worker. */
+    /** Starts the worker. */
     @BeforeMethod
     public void start() throws IOException {
       group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-      worker = new Worker(CHANNELS);
+      worker = new Worker(MAX_CONNECTIONS);
     }
 
-    /** Stops it. */
+    /** Stops the worker. */
     @AfterMethod
     public void stop() throws IOException {
       worker.close();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** Guards against a leader whose orders no worker takes: former leaders hold its channels. */
+    /**
+     * Guards against a leader that cannot reach a worker because idle connections of former leaders
+     * use up all connections that the worker accepts.
+     */
     @Test
-    public void leaderReachesWorkerThatFormerLeadersFilled() throws Exception {
+    public void connectsToWorkerFilledByFormerLeaders() throws Exception {
       for (int i = 0; i < LEADERS; i++) {
-        atOnce(new HttpClient(group, IDLE_MILLIS), CHANNELS / LEADERS);
+        callConcurrently(new HttpClient(group, IDLE_MILLIS), MAX_CONNECTIONS / LEADERS);
       }
-      assertEquals(worker.open(), CHANNELS);
-      HttpClient present = new HttpClient(group, IDLE_MILLIS);
-      untilAnswered(present).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      assertEquals(worker.open(), MAX_CONNECTIONS);
+      HttpClient currentLeader = new HttpClient(group, IDLE_MILLIS);
+      callUntilAnswered(currentLeader).get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Guards against connections that are kept for ever by whoever does not use them. */
+    /** Guards against unused connections that are kept open indefinitely. */
     @Test
-    public void unusedConnectionsAreClosed() throws Exception {
-      atOnce(new HttpClient(group, IDLE_MILLIS), CHANNELS);
-      assertTrue(worker.closed.tryAcquire(CHANNELS, PATIENCE_SECONDS, TimeUnit.SECONDS));
+    public void closesUnusedConnections() throws Exception {
+      callConcurrently(new HttpClient(group, IDLE_MILLIS), MAX_CONNECTIONS);
+      assertTrue(worker.closed.tryAcquire(MAX_CONNECTIONS, WAIT_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Guards against connections in regular use that are opened anew: each one is paid for. */
+    /** Guards against the cost of reopening a connection that is used regularly. */
     @Test
-    public void connectionInUseIsKept() throws Exception {
+    public void keepsConnectionInUse() throws Exception {
       HttpClient client = new HttpClient(group, IDLE_MILLIS);
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(3 * IDLE_MILLIS);
       while (System.nanoTime() < end) {
-        assertTrue(call(client, ORDER_MILLIS).get().is(200));
+        assertTrue(call(client, ORDER_TIMEOUT_MILLIS).get().is(200));
       }
       assertEquals(worker.opened(), 1);
     }
 
-    /** Guards against connections that are opened anew for each order that must not leave now. */
+    /** Guards against reopening the connection for each order whose send condition is false. */
     @Test
-    public void orderThatMustNotLeaveKeepsItsConnection() throws Exception {
+    public void keepsConnectionOfUnsentOrder() throws Exception {
       HttpClient client = new HttpClient(group, IDLE_MILLIS);
-      HttpClient.Spec order = HttpClient.Spec.get(worker.address(), "/", ORDER_MILLIS);
+      HttpClient.Spec order = HttpClient.Spec.get(worker.address(), "/", ORDER_TIMEOUT_MILLIS);
       for (int i = 0; i < 5; i++) {
-        HttpResult barred = call(client, order.onlyIf(() -> false)).get();
-        assertEquals(barred.outcome(), HttpResult.Outcome.NOT_SENT);
+        HttpResult unsent = call(client, order.onlyIf(() -> false)).get();
+        assertEquals(unsent.outcome(), HttpResult.Outcome.NOT_SENT);
       }
       assertTrue(call(client, order).get().is(200));
       assertEquals(worker.opened(), 1);
     }
 
-    /** Makes calls that are all under way at one moment. */
-    private void atOnce(HttpClient client, int calls) throws Exception {
-      worker.together = new CountDownLatch(calls);
+    /** Sends requests that are all in flight at the same time. */
+    private void callConcurrently(HttpClient client, int calls) throws Exception {
+      worker.pendingRequests = new CountDownLatch(calls);
       List<CompletableFuture<HttpResult>> results =
           IntStream.range(0, calls)
-              .mapToObj(i -> call(client, TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS)))
+              .mapToObj(i -> call(client, TimeUnit.SECONDS.toMillis(WAIT_SECONDS)))
               .toList();
       for (CompletableFuture<HttpResult> result : results) {
-        assertTrue(result.get(PATIENCE_SECONDS, TimeUnit.SECONDS).is(200));
+        assertTrue(result.get(WAIT_SECONDS, TimeUnit.SECONDS).is(200));
       }
     }
 
-    private CompletableFuture<HttpResult> untilAnswered(HttpClient client) {
-      Executor soon = CompletableFuture.delayedExecutor(10, TimeUnit.MILLISECONDS);
-      return call(client, ORDER_MILLIS)
+    private CompletableFuture<HttpResult> callUntilAnswered(HttpClient client) {
+      Executor delayed = CompletableFuture.delayedExecutor(10, TimeUnit.MILLISECONDS);
+      return call(client, ORDER_TIMEOUT_MILLIS)
           .thenComposeAsync(
               result ->
                   result.is(200)
                       ? CompletableFuture.completedFuture(result)
-                      : untilAnswered(client),
-              soon);
+                      : callUntilAnswered(client),
+              delayed);
     }
 
     private CompletableFuture<HttpResult> call(HttpClient client, long timeoutMillis) {
@@ -135,26 +138,26 @@
     }
   }
 
-  /** A worker that takes so many connections and leaves more of them waiting. */
+  /** A worker that accepts a limited number of connections and leaves others in the backlog. */
   private static final class Worker implements AutoCloseable {
 
     private static final int BACKLOG = 256;
 
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
         "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}".getBytes(StandardCharsets.UTF_8);
 
     private final ServerSocket server =
         new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final int most;
-    private final Semaphore room;
+    private final int maxConnections;
+    private final Semaphore freeConnections;
     private final Semaphore closed = new Semaphore(0);
-    private volatile CountDownLatch together = new CountDownLatch(0);
+    private volatile CountDownLatch pendingRequests = new CountDownLatch(0);
     private final AtomicInteger opened = new AtomicInteger();
 
-    Worker(int most) throws IOException {
-      this.most = most;
-      this.room = new Semaphore(most);
+    Worker(int maxConnections) throws IOException {
+      this.maxConnections = maxConnections;
+      this.freeConnections = new Semaphore(maxConnections);
       threads.execute(this::accept);
     }
 
@@ -163,7 +166,7 @@
     }
 
     int open() {
-      return most - room.availablePermits();
+      return maxConnections - freeConnections.availablePermits();
     }
 
     int opened() {
@@ -173,13 +176,13 @@
     private void accept() {
       try {
         while (true) {
-          room.acquire();
+          freeConnections.acquire();
           Socket socket = server.accept();
           opened.incrementAndGet();
           threads.execute(() -> serve(socket));
         }
       } catch (IOException | InterruptedException e) {
-        // The worker is closed.
+        // The worker was closed.
       }
     }
 
@@ -190,15 +193,15 @@
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
           if (line.isEmpty()) {
-            together.countDown();
-            together.await();
-            socket.getOutputStream().write(ANSWER);
+            pendingRequests.countDown();
+            pendingRequests.await();
+            socket.getOutputStream().write(RESPONSE);
           }
         }
       } catch (IOException | InterruptedException e) {
-        // The caller or the worker has gone.
+        // The caller or the worker closed the connection.
       } finally {
-        room.release();
+        freeConnections.release();
         closed.release();
       }
     }
--- a/adapters/src/test/java/org/cottontack/adapters/table/TableTextTest.java
+++ b/adapters/src/test/java/org/cottontack/adapters/table/TableTextTest.java
@@ -13,23 +13,23 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The operators' table as text. */
+/** Tests {@link TableText}. */
 public final class TableTextTest {
 
   private TableTextTest() {}
 
-  /** Tables of both users. */
+  /** The example tables of both users. */
   public static final class Examples {
 
-    /** Returns the example tables. */
+    /** Returns the directories of the example tables. */
     @DataProvider(name = "tables")
     public Object[][] tables() {
       return new Object[][] {{"rilatek"}, {"exchange"}};
     }
 
-    /** Every example is good, and reads back as it was written. */
+    /** Every example is valid and has the same rows after writing and reading it. */
     @Test(dataProvider = "tables")
-    public void exampleIsGood(String user) throws IOException {
+    public void exampleIsValidAndRoundTrips(String user) throws IOException {
       Path file = Path.of("../examples", user, "table.yaml");
       TableContent table = TableText.read(Files.readString(file));
       assertEquals(TableCheck.faults(table).toString(), "[]");
@@ -39,10 +39,10 @@
     }
   }
 
-  /** Bad tables. */
-  public static final class Faults {
+  /** Malformed tables. */
+  public static final class Malformed {
 
-    /** Returns bad texts and what the message must name. */
+    /** Returns malformed texts and the text that the message must contain. */
     @DataProvider(name = "bad")
     public Object[][] bad() {
       return new Object[][] {
@@ -55,11 +55,11 @@
       };
     }
 
-    /** The message names the place. */
+    /** The message names the location of the error. */
     @Test(dataProvider = "bad")
-    public void faultNamesItsPlace(String text, String wanted) {
-      AdapterException fault = expectThrows(AdapterException.class, () -> TableText.read(text));
-      assertTrue(fault.getMessage().contains(wanted), fault.getMessage());
+    public void messageNamesTheLocation(String text, String wanted) {
+      AdapterException exception = expectThrows(AdapterException.class, () -> TableText.read(text));
+      assertTrue(exception.getMessage().contains(wanted), exception.getMessage());
     }
   }
 }
--- a/wire/src/main/java/org/cottontack/wire/JobCodec.java
+++ b/wire/src/main/java/org/cottontack/wire/JobCodec.java
@@ -12,12 +12,12 @@
 import org.cottontack.wire.generated.job.StoredSchedule;
 import org.cottontack.wire.generated.job.StoredStep;
 
-/** Maps a {@link JobSpec} to its stored form and back. */
+/** Encodes and decodes the stored form of a {@link JobSpec}. */
 public final class JobCodec {
 
   private JobCodec() {}
 
-  /** Returns the stored form, without the identifier, which is the row's key. */
+  /** Encodes a job, except for its identifier, which is the key of the row. */
   public static byte[] write(JobSpec job) {
     StoredJob.Builder stored =
         StoredJob.newBuilder()
@@ -33,16 +33,18 @@
   }
 
   /**
-   * Reads a stored job.
+   * Decodes a stored job.
    *
-   * @throws WireException when the bytes are no stored job
+   * @throws WireException if the bytes are not a stored job
    */
   public static JobSpec read(JobId id, byte[] bytes) {
     try {
       StoredJob stored = StoredJob.parseFrom(bytes);
       if (stored.getStepsCount() == 0) {
-        // No bytes at all are a message as well; taken for a job it would wait for ever.
-        throw new IllegalArgumentException("a job without steps");
+        // An empty byte array is a valid protobuf message. Accepted as a job without steps, it
+        // would
+        // wait forever.
+        throw new IllegalArgumentException("the job has no steps");
       }
       StoredSchedule schedule = stored.getSchedule();
       return new JobSpec(
@@ -53,7 +55,7 @@
           new JobSpec.Schedule(
               schedule.getFirstMillis(), schedule.getIntervalMillis(), schedule.getRepeats()));
     } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-      throw new WireException("stored job " + id + " is damaged: " + e.getMessage());
+      throw new WireException("stored job " + id + " cannot be decoded: " + e.getMessage());
     }
   }
 
@@ -110,15 +112,15 @@
         step.getEstimateMillis(),
         step.getAfterList(),
         step.getTraitsList().stream().map(StepSpec.Trait::valueOf).toList(),
-        text(step.getRequiredLabel()),
-        text(step.getRack()),
+        optionalText(step.getRequiredLabel()),
+        optionalText(step.getRack()),
         step.getMaxPerWorker(),
         step.getImage(),
         step.getTargetMillis(),
         step.getMayMiss());
   }
 
-  private static Optional<String> text(String value) {
+  private static Optional<String> optionalText(String value) {
     return Optional.of(value).filter(present -> !present.isEmpty());
   }
 }
--- a/wire/src/main/java/org/cottontack/wire/PeerCodec.java
+++ b/wire/src/main/java/org/cottontack/wire/PeerCodec.java
@@ -15,12 +15,12 @@
 import org.cottontack.wire.generated.Report;
 import org.cottontack.wire.generated.TaskNotice;
 
-/** Maps {@link PeerMessage} to the body of an {@link Envelope} and back. */
+/** Encodes and decodes a {@link PeerMessage} as the body of an {@link Envelope}. */
 public final class PeerCodec {
 
   private PeerCodec() {}
 
-  /** Puts a message into an envelope. */
+  /** Writes a message into an envelope. */
   public static void write(Envelope.Builder envelope, PeerMessage message) {
     if (message instanceof PeerMessage.PromiseAsk ask) {
       envelope.setPromiseAsk(PromiseAsk.newBuilder().setEpoch(ask.epoch()).setRound(ask.round()));
@@ -39,20 +39,20 @@
     } else if (message instanceof PeerMessage.Forwarded answer) {
       envelope.setForwarded(forwarded(answer));
     } else {
-      throw new WireException("no wire form for " + message.getClass().getSimpleName());
+      throw new WireException("no protobuf encoding for " + message.getClass().getSimpleName());
     }
   }
 
   /**
-   * Reads the message of an envelope.
+   * Reads the message from an envelope.
    *
-   * @throws WireException when the envelope holds no known message
+   * @throws WireException if the envelope does not contain a known message or a field is invalid
    */
   public static PeerMessage read(Envelope envelope) {
     try {
       return body(envelope);
     } catch (IllegalArgumentException e) {
-      throw new WireException("a message has a bad field: " + e.getMessage());
+      throw new WireException("a message has an invalid field: " + e.getMessage());
     }
   }
 
@@ -71,7 +71,7 @@
           new PeerMessage.TaskNotice(new StoreKey(envelope.getTaskNotice().getKey()));
       case FORWARD -> forward(envelope.getForward());
       case FORWARDED -> forwarded(envelope.getForwarded());
-      case BODY_NOT_SET -> throw new WireException("an envelope holds no known message");
+      case BODY_NOT_SET -> throw new WireException("the envelope does not contain a known message");
     };
   }
 
--- a/wire/src/main/java/org/cottontack/wire/WireException.java
+++ b/wire/src/main/java/org/cottontack/wire/WireException.java
@@ -1,11 +1,11 @@
 package org.cottontack.wire;
 
-/** A message from another entry instance that cannot be understood. */
+/** Signals that a message or a stored job cannot be encoded or decoded. */
 public final class WireException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception that says what was not understood. */
+  /** Creates an exception with a message that describes the error. */
   public WireException(String message) {
     super(message);
   }
--- a/wire/src/main/java/org/cottontack/wire/package-info.java
+++ b/wire/src/main/java/org/cottontack/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Turns the core's messages between entry instances into protobuf and back. */
+/** Protobuf encoding of the messages between entry instances and of stored jobs. */
 package org.cottontack.wire;
--- a/wire/src/test/java/org/cottontack/wire/JobCodecTest.java
+++ b/wire/src/test/java/org/cottontack/wire/JobCodecTest.java
@@ -5,15 +5,16 @@
 import org.cottontack.core.job.JobId;
 import org.testng.annotations.Test;
 
-/** Tests of the stored form of jobs. */
+/** Tests {@link JobCodec}. */
 public class JobCodecTest {
 
   /**
-   * A row lost its content, or held what the store could not decode. No bytes at all are a message
-   * too: read as a job without steps, it would wait for ever and never end.
+   * Guards against a job that waits forever. A row may have lost its value, or the store could not
+   * decode it. An empty byte array is a valid protobuf message and would be read as a job without
+   * steps, which never ends.
    */
   @Test
-  public void noBytesAreNoJob() {
+  public void rejectsEmptyBytes() {
     assertThrows(WireException.class, () -> JobCodec.read(new JobId("a"), new byte[0]));
   }
 }
--- a/wire/src/test/java/org/cottontack/wire/PeerCodecTest.java
+++ b/wire/src/test/java/org/cottontack/wire/PeerCodecTest.java
@@ -15,12 +15,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Messages between entry instances survive the wire; rubbish does not get through. */
+/** Tests that {@link PeerCodec} preserves messages and rejects invalid input. */
 public final class PeerCodecTest {
 
   private PeerCodecTest() {}
 
-  /** Good messages. */
+  /** Valid messages. */
   public static final class RoundTrip {
 
     /** Returns one message of each kind. */
@@ -40,7 +40,7 @@
       };
     }
 
-    /** What was written is read. */
+    /** A message equals the original after writing and reading it. */
     @Test(dataProvider = "messages")
     public void readsWhatWasWritten(PeerMessage message) {
       Envelope.Builder envelope = Envelope.newBuilder();
@@ -49,33 +49,36 @@
     }
   }
 
-  /** Bad messages. */
-  public static final class Rubbish {
+  /** Invalid messages. */
+  public static final class InvalidInput {
 
     private static final long SEED = 42;
 
-    /** An envelope without a known message is refused. */
+    /** An envelope without a known message is rejected. */
     @Test
-    public void emptyEnvelope() {
+    public void rejectsEmptyEnvelope() {
       assertThrows(WireException.class, () -> PeerCodec.read(Envelope.getDefaultInstance()));
     }
 
-    /** Random bytes either fail to parse, are refused, or are some message; nothing else. */
+    /**
+     * Random bytes fail to parse, are rejected, or are read as a message. No other exception is
+     * thrown.
+     */
     @Test
-    public void randomBytes() {
+    public void readsOrRejectsRandomBytes() {
       Random random = new Random(SEED);
       for (int i = 0; i < 20_000; i++) {
         byte[] bytes = new byte[random.nextInt(64)];
         random.nextBytes(bytes);
-        readOrRefuse(bytes);
+        readOrReject(bytes);
       }
     }
 
-    private static void readOrRefuse(byte[] bytes) {
+    private static void readOrReject(byte[] bytes) {
       try {
         PeerCodec.read(Envelope.parseFrom(bytes));
       } catch (InvalidProtocolBufferException | WireException e) {
-        return; // both close the connection
+        return; // Both exceptions close the connection.
       }
     }
   }
