--- a/ctl/src/main/java/org/cottontack/ctl/Commands.java
+++ b/ctl/src/main/java/org/cottontack/ctl/Commands.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The sub-commands and their options. */
+/** The subcommands and their options. */
 final class Commands {
 
   private Commands() {}
 
-  /** Options that every command that asks an instance has. */
-  static class Asking {
+  /** Options of all commands that call an entry instance. */
+  static class InstanceOptions {
     @Parameter(
         names = "--instance",
         description = "Operators' address of any entry instance, host:port.")
@@ -21,23 +21,23 @@
     boolean json;
   }
 
-  @Parameters(commandDescription = "Show how one entry instance is doing.")
-  static final class Status extends Asking {}
+  @Parameters(commandDescription = "Show the status of one entry instance.")
+  static final class Status extends InstanceOptions {}
 
   @Parameters(commandDescription = "List entry instances that hold a lease.")
-  static final class Instances extends Asking {}
+  static final class Instances extends InstanceOptions {}
 
   @Parameters(commandDescription = "List live tasks of the instance's data centre.")
-  static final class Tasks extends Asking {}
+  static final class Tasks extends InstanceOptions {}
 
   @Parameters(commandDescription = "Show the metrics of one entry instance.")
-  static final class Metrics extends Asking {}
+  static final class Metrics extends InstanceOptions {}
 
   @Parameters(commandDescription = "Stop one entry instance gracefully.")
-  static final class Drain extends Asking {}
+  static final class Drain extends InstanceOptions {}
 
   @Parameters(commandDescription = "Show events of one or more entry instances in causal order.")
-  static final class TimelineCommand extends Asking {
+  static final class TimelineCommand extends InstanceOptions {
     @Parameter(
         names = "--from",
         description = "Operators' addresses, separated by commas; all are merged.")
@@ -46,11 +46,11 @@
     @Parameter(names = "--subject", description = "Only events about this task or request.")
     String subject = "";
 
-    @Parameter(names = "--event", description = "Only events whose name starts so.")
+    @Parameter(names = "--event", description = "Only events whose name starts with this text.")
     String event = "";
   }
 
-  @Parameters(commandDescription = "Say from log files where the time of jobs went.")
+  @Parameters(commandDescription = "Show from log files what the time of jobs was spent on.")
   static final class Explain {
     @Parameter(description = "FILE...: log files of all instances", required = true)
     List<String> files = new ArrayList<>();
@@ -62,14 +62,14 @@
   @Parameters(
       commandDescription =
           "check FILE, diff FILE, apply FILE --expected N, history, or show: the table.")
-  static final class Table extends Asking {
+  static final class Table extends InstanceOptions {
     @Parameter(description = "check|diff|apply|history|show [FILE]", required = true)
-    List<String> words = new ArrayList<>();
+    List<String> arguments = new ArrayList<>();
 
     @Parameter(names = "--expected", description = "The version you edited.")
     long expected = -1;
 
-    @Parameter(names = "--editor", description = "Who edits; kept in the history.")
+    @Parameter(names = "--editor", description = "Name of the editor, kept in the history.")
     String editor = System.getProperty("user.name", "unknown");
 
     @Parameter(
--- a/ctl/src/main/java/org/cottontack/ctl/CtlException.java
+++ b/ctl/src/main/java/org/cottontack/ctl/CtlException.java
@@ -1,6 +1,6 @@
 package org.cottontack.ctl;
 
-/** A fault that ends the command with one clear line and an exit code. */
+/** Signals an error that ends the command with a message of one line and an exit code. */
 final class CtlException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/ctl/src/main/java/org/cottontack/ctl/ExitCode.java
+++ b/ctl/src/main/java/org/cottontack/ctl/ExitCode.java
@@ -2,19 +2,19 @@
 
 /** The exit codes of {@code cottontackctl}. */
 enum ExitCode {
-  /** Done. */
+  /** The command succeeded. */
   DONE(0),
-  /** A table has faults, or two tables differ where the question was whether they do. */
+  /** A table is invalid or does not exist, or the log files contain nothing to explain. */
   NEGATIVE(1),
-  /** Wrong usage. */
+  /** The command line or an address is invalid. */
   USAGE(2),
   /** A file cannot be read. */
   NO_FILE(3),
-  /** The instance cannot be reached or does not answer as expected. */
+  /** The instance cannot be reached or returns an unexpected response. */
   UNREACHABLE(4),
-  /** Somebody else's edit came first. */
+  /** Another edit was accepted first. */
   STALE(5),
-  /** Not in force everywhere before the time limit. */
+  /** The table was not in force at all instances before the time limit. */
   NOT_EVERYWHERE(6);
 
   private final int number;
--- a/ctl/src/main/java/org/cottontack/ctl/Main.java
+++ b/ctl/src/main/java/org/cottontack/ctl/Main.java
@@ -49,8 +49,8 @@
    * Runs the command within this process.
    *
    * @param args the command line
-   * @param out gets the output
-   * @param err gets one line for a fault
+   * @param out receives the output
+   * @param err receives one line if the command fails
    * @return the exit code
    */
   public static int run(String[] args, PrintStream out, PrintStream err) {
@@ -90,7 +90,7 @@
       return help ? ExitCode.DONE : ExitCode.USAGE;
     }
     if (commander.getParsedCommand().equals("explain")) {
-      return explained();
+      return runExplain();
     }
     try (OpsClient client = new OpsClient()) {
       return dispatch(commander.getParsedCommand(), client);
@@ -100,17 +100,17 @@
   private ExitCode dispatch(String command, OpsClient client) {
     return switch (command) {
       case "table" -> new TableCommand(client, table, out).run();
-      case "status" -> fields(client, status, "/ops/status");
-      case "instances" -> list(client, instances, "/ops/instances");
-      case "tasks" -> list(client, tasks, "/ops/tasks");
-      case "metrics" -> text(client, metrics, "/metrics");
-      case "drain" -> drained(client);
-      case "timeline" -> timeline(client);
-      default -> throw new CtlException(ExitCode.USAGE, "no command " + command);
+      case "status" -> printFields(client, status, "/ops/status");
+      case "instances" -> printList(client, instances, "/ops/instances");
+      case "tasks" -> printList(client, tasks, "/ops/tasks");
+      case "metrics" -> printText(client, metrics, "/metrics");
+      case "drain" -> requestDrain(client);
+      case "timeline" -> printTimeline(client);
+      default -> throw new CtlException(ExitCode.USAGE, "unknown command " + command);
     };
   }
 
-  private ExitCode explained() {
+  private ExitCode runExplain() {
     List<Path> files = explain.files.stream().map(Path::of).toList();
     try {
       boolean found = new ExplainCommand(out).run(files, explain.job);
@@ -120,7 +120,7 @@
     }
   }
 
-  private static HttpResult ask(OpsClient client, Commands.Asking options, String path) {
+  private static HttpResult fetch(OpsClient client, Commands.InstanceOptions options, String path) {
     HttpResult result = client.get(Address.parse(options.instance), path);
     if (!result.is(200)) {
       throw new CtlException(
@@ -129,29 +129,30 @@
     return result;
   }
 
-  private ExitCode text(OpsClient client, Commands.Asking options, String path) {
-    out.print(ask(client, options, path).text());
+  private ExitCode printText(OpsClient client, Commands.InstanceOptions options, String path) {
+    out.print(fetch(client, options, path).text());
     return ExitCode.DONE;
   }
 
-  private ExitCode fields(OpsClient client, Commands.Asking options, String path) {
-    String body = ask(client, options, path).text();
+  private ExitCode printFields(OpsClient client, Commands.InstanceOptions options, String path) {
+    String body = fetch(client, options, path).text();
     if (options.json) {
       out.println(body);
     } else {
       Json.tree(body)
           .properties()
-          .forEach(field -> out.printf("%-16s %s%n", field.getKey(), plain(field.getValue())));
+          .forEach(
+              field -> out.printf("%-16s %s%n", field.getKey(), displayText(field.getValue())));
     }
     return ExitCode.DONE;
   }
 
-  private static String plain(JsonNode value) {
+  private static String displayText(JsonNode value) {
     return value.isTextual() ? value.asText() : value.toString();
   }
 
-  private ExitCode list(OpsClient client, Commands.Asking options, String path) {
-    String body = ask(client, options, path).text();
+  private ExitCode printList(OpsClient client, Commands.InstanceOptions options, String path) {
+    String body = fetch(client, options, path).text();
     if (options.json) {
       out.println(body);
     } else {
@@ -162,13 +163,13 @@
     return ExitCode.DONE;
   }
 
-  private ExitCode drained(OpsClient client) {
+  private ExitCode requestDrain(OpsClient client) {
     client.send(Address.parse(drain.instance), "POST", "/ops/drain", "");
     out.println("draining " + drain.instance);
     return ExitCode.DONE;
   }
 
-  private ExitCode timeline(OpsClient client) {
+  private ExitCode printTimeline(OpsClient client) {
     List<String> from = timeline.from.isEmpty() ? List.of(timeline.instance) : timeline.from;
     String query =
         "/ops/timeline?subject=%s&event=%s"
@@ -188,7 +189,10 @@
     return ExitCode.DONE;
   }
 
-  /** An instance that is gone is named, so that nobody takes the time line for complete. */
+  /**
+   * Returns the events of an instance. Prints a line for missing events and for instances that do
+   * not answer, so that the timeline is not mistaken for a complete one.
+   */
   private Stream<JsonNode> entries(OpsClient client, String address, String query) {
     try {
       JsonNode part = Json.tree(client.get(Address.parse(address), query).text());
--- a/ctl/src/main/java/org/cottontack/ctl/OpsClient.java
+++ b/ctl/src/main/java/org/cottontack/ctl/OpsClient.java
@@ -11,7 +11,7 @@
 import org.cottontack.adapters.http.HttpResult;
 import org.cottontack.core.peer.Payload;
 
-/** Calls operators' ports and waits for the answers. */
+/** Sends requests to operators' ports and waits for the responses. */
 final class OpsClient implements AutoCloseable {
 
   private static final long TIMEOUT_MILLIS = 10_000;
@@ -37,9 +37,9 @@
   }
 
   private HttpResult call(HttpClient.Spec spec) {
-    CompletableFuture<HttpResult> answer = new CompletableFuture<>();
-    client.call(spec, answer::complete);
-    HttpResult result = answer.join();
+    CompletableFuture<HttpResult> response = new CompletableFuture<>();
+    client.call(spec, response::complete);
+    HttpResult result = response.join();
     if (result.outcome() != HttpResult.Outcome.ANSWERED) {
       throw new CtlException(
           ExitCode.UNREACHABLE, "no answer from the instance at " + spec.address());
--- a/ctl/src/main/java/org/cottontack/ctl/TableCommand.java
+++ b/ctl/src/main/java/org/cottontack/ctl/TableCommand.java
@@ -18,7 +18,7 @@
 import org.cottontack.core.table.TableContent;
 import org.cottontack.core.table.TableFault;
 
-/** {@code cottontackctl table …}. */
+/** The {@code cottontackctl table} command. */
 final class TableCommand {
 
   private static final long POLL_MILLIS = 250;
@@ -35,11 +35,11 @@
   }
 
   ExitCode run() {
-    String action = options.words.get(0);
+    String action = options.arguments.get(0);
     return switch (action) {
-      case "check" -> check(file());
-      case "diff" -> diff(file());
-      case "apply" -> apply(file());
+      case "check" -> check(readFile());
+      case "diff" -> diff(readFile());
+      case "apply" -> apply(readFile());
       case "show" -> show();
       case "history" -> history();
       default ->
@@ -49,11 +49,11 @@
     };
   }
 
-  private String file() {
-    if (options.words.size() < 2) {
-      throw new CtlException(ExitCode.USAGE, "table " + options.words.get(0) + " needs a FILE");
+  private String readFile() {
+    if (options.arguments.size() < 2) {
+      throw new CtlException(ExitCode.USAGE, "table " + options.arguments.get(0) + " needs a FILE");
     }
-    String name = options.words.get(1);
+    String name = options.arguments.get(1);
     try {
       return Files.readString(Path.of(name));
     } catch (IOException e) {
@@ -65,7 +65,7 @@
     try {
       return TableText.read(text);
     } catch (AdapterException e) {
-      throw new CtlException(ExitCode.NEGATIVE, options.words.get(1) + ": " + e.getMessage());
+      throw new CtlException(ExitCode.NEGATIVE, options.arguments.get(1) + ": " + e.getMessage());
     }
   }
 
@@ -74,15 +74,15 @@
     if (options.json) {
       out.println(Json.write(faults));
     } else if (faults.isEmpty()) {
-      out.println(options.words.get(1) + ": good");
+      out.println(options.arguments.get(1) + ": good");
     } else {
-      faults.forEach(fault -> out.println(options.words.get(1) + ": " + fault));
+      faults.forEach(fault -> out.println(options.arguments.get(1) + ": " + fault));
     }
     return faults.isEmpty() ? ExitCode.DONE : ExitCode.NEGATIVE;
   }
 
   private ExitCode diff(String text) {
-    HttpResult result = current();
+    HttpResult result = fetchTable();
     TableContent before = result.is(200) ? TableText.read(result.text()) : EMPTY;
     List<String> lines = TableDiff.lines(before, parse(text));
     String version = result.headers().getOrDefault("cottontack-table-version", "0");
@@ -96,7 +96,7 @@
     return ExitCode.DONE;
   }
 
-  private HttpResult current() {
+  private HttpResult fetchTable() {
     return client.get(address(), "/ops/table");
   }
 
@@ -127,29 +127,29 @@
   }
 
   private ExitCode refused(HttpResult result, ExitCode code) {
-    String why =
+    String reason =
         Json.tree(result.text()).path("messages").toString() + " (" + result.status() + ")";
-    throw new CtlException(code, "not accepted: " + why);
+    throw new CtlException(code, "not accepted: " + reason);
   }
 
   private ExitCode accepted(long version) {
     out.println("accepted as version " + version);
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(options.waitSeconds);
-    List<String> missing = options.waitFor;
-    while (!missing.isEmpty() && System.nanoTime() < end) {
-      missing = missing.stream().filter(a -> versionAt(a) < version).toList();
-      int reached = options.waitFor.size() - missing.size();
-      out.println("in force at %d of %d".formatted(reached, options.waitFor.size()));
-      pause(missing);
+    List<String> outdated = options.waitFor;
+    while (!outdated.isEmpty() && System.nanoTime() < end) {
+      outdated = outdated.stream().filter(a -> versionAt(a) < version).toList();
+      int updated = options.waitFor.size() - outdated.size();
+      out.println("in force at %d of %d".formatted(updated, options.waitFor.size()));
+      pause(outdated);
     }
-    if (missing.isEmpty()) {
+    if (outdated.isEmpty()) {
       return ExitCode.DONE;
     }
-    throw new CtlException(ExitCode.NOT_EVERYWHERE, "not yet in force at " + missing);
+    throw new CtlException(ExitCode.NOT_EVERYWHERE, "not yet in force at " + outdated);
   }
 
-  private static void pause(List<String> missing) {
-    if (missing.isEmpty()) {
+  private static void pause(List<String> outdated) {
+    if (outdated.isEmpty()) {
       return;
     }
     try {
@@ -169,7 +169,7 @@
   }
 
   private ExitCode show() {
-    HttpResult result = current();
+    HttpResult result = fetchTable();
     if (!result.is(200)) {
       throw new CtlException(ExitCode.NEGATIVE, "there is no table yet");
     }
--- a/ctl/src/main/java/org/cottontack/ctl/TableDiff.java
+++ b/ctl/src/main/java/org/cottontack/ctl/TableDiff.java
@@ -9,7 +9,7 @@
 import org.cottontack.core.table.TableContent;
 import org.cottontack.core.table.TeamSpec;
 
-/** What changes between two tables, one line for each row or team. */
+/** Lists the differences between two tables, with one entry for each row or team. */
 final class TableDiff {
 
   private TableDiff() {}
@@ -28,7 +28,7 @@
     }
     teams(before, after, lines);
     for (RowName name : before.changedRows(after)) {
-      lines.add(line("row " + name, text(before.row(name)), text(after.row(name))));
+      lines.add(line("row " + name, json(before.row(name)), json(after.row(name))));
     }
     return lines;
   }
@@ -45,16 +45,16 @@
         .forEach(team -> lines.add(line("team " + team.name(), "", Json.write(team))));
   }
 
-  private static String text(Optional<RowSpec> row) {
+  private static String json(Optional<RowSpec> row) {
     return row.map(Json::write).orElse("");
   }
 
-  private static String line(String what, String before, String after) {
+  private static String line(String subject, String before, String after) {
     if (before.isEmpty()) {
-      return "+ " + what + ": " + after;
+      return "+ " + subject + ": " + after;
     }
     return after.isEmpty()
-        ? "- " + what + ": " + before
-        : "~ " + what + ":\n    was " + before + "\n    now " + after;
+        ? "- " + subject + ": " + before
+        : "~ " + subject + ":\n    was " + before + "\n    now " + after;
   }
 }
--- a/ctl/src/main/java/org/cottontack/ctl/explain/Cause.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/Cause.java
@@ -1,46 +1,55 @@
 package org.cottontack.ctl.explain;
 
-/** What a job's time went to. */
+/** What the time of a job was spent on. */
 enum Cause {
-  /** Its own work, as long as such work usually takes. */
+  /** Time that the work of the job was expected to take. */
   WORK(true, "its own work"),
-  /** Its own work: tasks of a step differ, and the largest of many takes longer than most. */
+  /**
+   * Work of the job beyond the expected time: tasks of a step differ, and the largest of many takes
+   * longer than most.
+   */
   UNEVEN(true, "uneven work"),
-  /** From its first submission until it was stored: a store that did not answer, or tries again. */
+  /**
+   * Time from the first submission until the job was stored: the store did not answer, or the
+   * submission was retried.
+   */
   INTAKE(false, "store did not take it in"),
-  /** No instance led, so nothing was decided. */
+  /** No instance was the leader, so nothing was scheduled. */
   NO_LEADER(false, "no leader"),
-  /** Tasks were ready and no worker had a place for them. */
+  /** Tasks were ready and no worker had capacity for them. */
   ROOM(false, "waited for a place"),
-  /** Tasks were ready and waited for a place while an operator emptied a data centre. */
+  /** Tasks were ready and waited for capacity while an operator evacuated a data centre. */
   EVACUATED(false, "data centre evacuated"),
-  /** A run was slowed beside tasks that serve. */
+  /** A run was paced because of serving tasks on the same worker. */
   PACED(false, "slowed by pace"),
-  /** A run took far longer than such runs usually take, and was not slowed by us. */
+  /** A run took much longer than expected for reasons other than pacing. */
   SLOW(false, "slow run"),
-  /** A run failed and was tried again. */
+  /** A run failed and was retried. */
   FAILED(false, "run failed"),
-  /** We stopped a run to start it elsewhere. */
+  /** The leader stopped a run to start it on another worker. */
   MOVED(false, "stopped and moved"),
-  /** A worker was lost, or out of reach until its leases had ended. */
+  /** A worker was lost, or unreachable until its leases had expired. */
   LOST_WORKER(false, "worker lost"),
-  /** Between the last run's end as its worker listed it and the job's end in the store. */
+  /**
+   * Time from the completion of the last run, as its worker listed it, to the end of the job in the
+   * store.
+   */
   NOTICE(false, "end noticed late");
 
   private final boolean inherent;
-  private final String words;
+  private final String label;
 
-  Cause(boolean inherent, String words) {
+  Cause(boolean inherent, String label) {
     this.inherent = inherent;
-    this.words = words;
+    this.label = label;
   }
 
-  /** Returns whether the time would have been needed in any case. */
+  /** Returns whether the time is needed for the work itself, even without delays. */
   boolean inherent() {
     return inherent;
   }
 
-  String words() {
-    return words;
+  String label() {
+    return label;
   }
 }
--- a/ctl/src/main/java/org/cottontack/ctl/explain/ExplainCommand.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/ExplainCommand.java
@@ -9,34 +9,37 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** {@code cottontackctl explain}: where the time of jobs went, from log files. */
+/**
+ * The {@code cottontackctl explain} command, which shows from log files what the time of jobs was
+ * spent on.
+ */
 public final class ExplainCommand {
 
   private final PrintStream out;
 
-  /** Prints to a stream. */
+  /** Creates a command that prints to a stream. */
   public ExplainCommand(PrintStream out) {
     this.out = out;
   }
 
   /**
-   * Explains one job, or all when none is named.
+   * Prints the critical path of one job, or a table of all jobs.
    *
-   * @param files log files of all instances
-   * @param job the job's id, or empty
-   * @return whether there was anything to explain
-   * @throws UncheckedIOException when a file cannot be read
+   * @param files the log files of all instances
+   * @param job the identifier of the job; empty for a table of all jobs
+   * @return whether the files contain the job, or any job
+   * @throws UncheckedIOException if a file cannot be read
    */
   public boolean run(List<Path> files, String job) {
-    Histories all = Histories.of(files.stream().flatMap(ExplainCommand::lines));
+    Histories histories = Histories.of(files.stream().flatMap(ExplainCommand::lines));
     if (!job.isEmpty()) {
-      return one(all, job);
+      return explainJob(histories, job);
     }
-    if (all.jobs().isEmpty()) {
+    if (histories.jobs().isEmpty()) {
       out.println("no job in these files");
       return false;
     }
-    new LossTable(all).print(out);
+    new LossTable(histories).print(out);
     return true;
   }
 
@@ -48,8 +51,8 @@
     }
   }
 
-  private boolean one(Histories all, String id) {
-    JobHistory job = all.jobs().get(id);
+  private boolean explainJob(Histories histories, String id) {
+    JobHistory job = histories.jobs().get(id);
     if (job == null) {
       out.println("no line names the job " + id);
       return false;
@@ -62,16 +65,16 @@
     }
     out.printf(
         "%s of queue %s: %s after %d ms, objective %d ms%n",
-        id, job.queue, job.outcome, job.tookMillis(), job.objectiveMillis);
-    CriticalPath.of(job, all)
+        id, job.queue, job.outcome, job.elapsedMillis(), job.objectiveMillis);
+    CriticalPath.of(job, histories)
         .forEach(
             span ->
                 out.printf(
                     "  %+8d ms %6d ms  %-24s %s%n",
                     span.fromMillis() - job.submittedMillis,
                     span.millis(),
-                    span.cause().words(),
-                    span.what()));
+                    span.cause().label(),
+                    span.subject()));
     return true;
   }
 }
--- a/ctl/src/main/java/org/cottontack/ctl/explain/Histories.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/Histories.java
@@ -12,14 +12,17 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** The histories of all jobs, and when nobody led, from the lines of all instances. */
+/**
+ * The histories of all jobs, the intervals without a leader and the evacuations, read from the log
+ * lines of all instances.
+ */
 final class Histories {
 
   private static final Pattern PLACED = Pattern.compile("(\\d+\\.\\d+)#(\\d+)@(\\S+)");
   private static final Pattern RUN = Pattern.compile("([^.]+)\\.\\d+\\.(\\d+\\.\\d+)#(\\d+)");
 
-  /** Lines that only a leader writes. */
-  private static final List<String> LEADERS =
+  /** Prefixes of the names of events that only a leader logs. */
+  private static final List<String> LEADER_EVENT_PREFIXES =
       List.of(
           "job.taken",
           "job.placed",
@@ -30,36 +33,36 @@
           "leader.load",
           "evacuation.");
 
-  /** A span in which nobody decided, or in which some data centre was being emptied. */
-  record Gap(long fromMillis, long toMillis) {
+  /** An interval without a leader, or with an evacuation of at least one data centre. */
+  record Interval(long fromMillis, long toMillis) {
 
     long overlap(long from, long to) {
       return Math.max(0, Math.min(to, toMillis) - Math.max(from, fromMillis));
     }
   }
 
-  /** What a leader said of the whole fleet at one moment. */
+  /** The load of the whole fleet as logged by a leader. */
   record Load(long millis, long over, long waitingShort, long waitingFilling) {}
 
   private final Map<String, JobHistory> jobs = new LinkedHashMap<>();
-  private final List<Gap> gaps = new ArrayList<>();
-  private final List<Gap> evacuations = new ArrayList<>();
-  private final Set<String> evacuated = new HashSet<>();
+  private final List<Interval> leaderGaps = new ArrayList<>();
+  private final List<Interval> evacuations = new ArrayList<>();
+  private final Set<String> evacuatingDataCentres = new HashSet<>();
   private final List<Load> loads = new ArrayList<>();
-  private long ledMillis;
-  private long evacuatedMillis;
+  private long lastLeaderMillis;
+  private long evacuationStartMillis;
   private long lastMillis;
 
   private Histories() {}
 
-  /** Reads lines in any order. */
+  /** Reads log lines, which may be in any order. */
   static Histories of(Stream<String> lines) {
     Histories histories = new Histories();
     lines
         .map(LogLine::parse)
         .flatMap(Optional::stream)
         .sorted(Comparator.comparingLong(LogLine::millis))
-        .forEachOrdered(histories::take);
+        .forEachOrdered(histories::process);
     histories.endEvacuations(histories.lastMillis);
     return histories;
   }
@@ -72,27 +75,30 @@
     return loads;
   }
 
-  /** Returns for how long nobody decided within a span, in milliseconds. */
-  long leaderless(long fromMillis, long toMillis) {
-    return gaps.stream().mapToLong(gap -> gap.overlap(fromMillis, toMillis)).sum();
+  /** Returns for how long there was no leader within an interval, in milliseconds. */
+  long leaderlessMillis(long fromMillis, long toMillis) {
+    return leaderGaps.stream().mapToLong(interval -> interval.overlap(fromMillis, toMillis)).sum();
   }
 
-  /** Returns for how long some data centre was being emptied within a span, in milliseconds. */
-  long evacuated(long fromMillis, long toMillis) {
-    return evacuations.stream().mapToLong(gap -> gap.overlap(fromMillis, toMillis)).sum();
+  /**
+   * Returns for how long at least one data centre was being evacuated within an interval, in
+   * milliseconds.
+   */
+  long evacuationMillis(long fromMillis, long toMillis) {
+    return evacuations.stream().mapToLong(interval -> interval.overlap(fromMillis, toMillis)).sum();
   }
 
-  private void take(LogLine line) {
+  private void process(LogLine line) {
     lastMillis = line.millis();
     if (line.event().equals("leader.ready")) {
-      if (ledMillis > 0) {
-        gaps.add(new Gap(ledMillis, line.millis()));
+      if (lastLeaderMillis > 0) {
+        leaderGaps.add(new Interval(lastLeaderMillis, line.millis()));
       }
-      ledMillis = line.millis();
+      lastLeaderMillis = line.millis();
       return;
     }
-    if (LEADERS.stream().anyMatch(line.event()::startsWith)) {
-      ledMillis = line.millis();
+    if (LEADER_EVENT_PREFIXES.stream().anyMatch(line.event()::startsWith)) {
+      lastLeaderMillis = line.millis();
     }
     switch (line.event()) {
       case "job.submitted" -> job(line.subject()).submitted(line);
@@ -100,35 +106,35 @@
       case "job.placed" -> placed(line);
       case "job.ended" -> ended(line);
       case "run.ended" -> runEnded(line);
-      case "run.missing" -> runGone(line);
-      case "worker.lapsed", "worker.reborn" -> workerGone(line);
+      case "run.missing" -> runMissing(line);
+      case "worker.lapsed", "worker.reborn" -> workerLost(line);
       case "evacuation.seen", "evacuation.left" -> evacuationSeen(line);
       case "evacuation.ended" -> evacuationEnded(line);
       case "leader.load" -> load(line);
       default -> {
-        // Other events tell nothing of a single job's time.
+        // Other events do not affect the time of a single job.
       }
     }
   }
 
   private void evacuationSeen(LogLine line) {
-    if (evacuated.isEmpty()) {
-      evacuatedMillis = line.millis();
+    if (evacuatingDataCentres.isEmpty()) {
+      evacuationStartMillis = line.millis();
     }
-    evacuated.add(line.subject());
+    evacuatingDataCentres.add(line.subject());
   }
 
   private void evacuationEnded(LogLine line) {
-    evacuated.remove(line.subject());
-    if (evacuated.isEmpty()) {
+    evacuatingDataCentres.remove(line.subject());
+    if (evacuatingDataCentres.isEmpty()) {
       endEvacuations(line.millis());
     }
   }
 
   private void endEvacuations(long millis) {
-    if (evacuatedMillis > 0) {
-      evacuations.add(new Gap(evacuatedMillis, millis));
-      evacuatedMillis = 0;
+    if (evacuationStartMillis > 0) {
+      evacuations.add(new Interval(evacuationStartMillis, millis));
+      evacuationStartMillis = 0;
     }
   }
 
@@ -161,27 +167,27 @@
         .run(name.group(2), Integer.parseInt(name.group(3)))
         .ifPresent(
             run -> {
-              run.ended(RunHistory.End.of(words[1]), line.millis());
+              run.ended(RunHistory.Status.of(words[1]), line.millis());
               run.slowedMillis = line.number("slowed");
               run.expectedMillis = line.number("expected");
             });
   }
 
-  private void runGone(LogLine line) {
+  private void runMissing(LogLine line) {
     Matcher name = RUN.matcher(line.subject());
     if (name.matches()) {
       job(name.group(1))
           .run(name.group(2), Integer.parseInt(name.group(3)))
-          .ifPresent(run -> run.ended(RunHistory.End.GONE, line.millis()));
+          .ifPresent(run -> run.ended(RunHistory.Status.GONE, line.millis()));
     }
   }
 
-  private void workerGone(LogLine line) {
+  private void workerLost(LogLine line) {
     jobs.values().stream()
         .flatMap(job -> job.runs.values().stream())
         .flatMap(List::stream)
-        .filter(run -> run.end == RunHistory.End.OPEN && run.worker.equals(line.subject()))
-        .forEach(run -> run.ended(RunHistory.End.GONE, line.millis()));
+        .filter(run -> run.status == RunHistory.Status.OPEN && run.worker.equals(line.subject()))
+        .forEach(run -> run.ended(RunHistory.Status.GONE, line.millis()));
   }
 
   private void load(LogLine line) {
--- a/ctl/src/main/java/org/cottontack/ctl/explain/JobHistory.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/JobHistory.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the lines say of one job. */
+/** The history of one job, as read from log lines. */
 final class JobHistory {
 
   private static final Pattern STEP =
@@ -17,14 +17,14 @@
           "(\\d+)x(\\d+)mc/\\d+MB ~(\\d+)ms after \\[([\\d, ]*)\\] \\[([A-Z_, ]*)\\]"
               + ".*? image=(\\S*)");
 
-  /** What kind of work a job is. */
+  /** The kind of work of a job. */
   enum Kind {
     SHORT,
     FILLING,
     LASTING
   }
 
-  /** One step of a job, as the leader described it. */
+  /** One step of a job, as logged by the leader. */
   record Step(int count, long cpuMillis, long estimateMillis, List<Integer> after) {
 
     double work() {
@@ -35,7 +35,7 @@
   final String id;
   final List<Step> steps = new ArrayList<>();
 
-  /** Runs of each task, by {@code step.index}, in the order of their numbers. */
+  /** The runs of each task, keyed by {@code step.index}, in the order in which they were placed. */
   final Map<String, List<RunHistory>> runs = new TreeMap<>();
 
   Kind kind = Kind.SHORT;
@@ -52,8 +52,8 @@
   }
 
   void submitted(LogLine line) {
-    long began = line.millis() - line.fields().path("millis").asLong();
-    submittedMillis = submittedMillis == 0 ? began : Math.min(submittedMillis, began);
+    long startMillis = line.millis() - line.fields().path("millis").asLong();
+    submittedMillis = submittedMillis == 0 ? startMillis : Math.min(submittedMillis, startMillis);
     if (storedMillis == 0 && line.fields().path("answer").asText().equals("STORED")) {
       storedMillis = line.millis();
     }
@@ -106,14 +106,16 @@
         .findFirst();
   }
 
-  /** Returns the run of a step that was done last, with its task's name; nothing when none was. */
+  /**
+   * Returns the run of a step that was done last with the name of its task, or empty if none was.
+   */
   Optional<Map.Entry<String, RunHistory>> lastDone(int step) {
     return runs.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(step + "."))
         .flatMap(
             entry ->
                 entry.getValue().stream()
-                    .filter(run -> run.end == RunHistory.End.DONE)
+                    .filter(run -> run.status == RunHistory.Status.DONE)
                     .map(run -> Map.entry(entry.getKey(), run)))
         .max(Comparator.comparingLong(entry -> entry.getValue().endMillis));
   }
@@ -122,8 +124,8 @@
     return endMillis > 0 && storedMillis > 0 && takenMillis > 0;
   }
 
-  /** Returns how long it took from the first submission, in milliseconds. */
-  long tookMillis() {
+  /** Returns the time from the first submission to the end, in milliseconds. */
+  long elapsedMillis() {
     return endMillis - submittedMillis;
   }
 
--- a/ctl/src/main/java/org/cottontack/ctl/explain/LogLine.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/LogLine.java
@@ -8,17 +8,17 @@
 import org.cottontack.adapters.json.Json;
 
 /**
- * One line that an entry instance wrote.
+ * A log event written by an entry instance.
  *
- * @param millis when, in milliseconds since 1970 by the instance's time of day
- * @param event its name, such as {@code job.placed}
- * @param subject what it is about; empty when it names nothing
- * @param detail the rest, as text
- * @param fields all its fields
+ * @param millis the time in milliseconds since the epoch, by the wall clock of the instance
+ * @param event the name of the event, such as {@code job.placed}
+ * @param subject the subject of the event; empty if it has none
+ * @param detail the details as text
+ * @param fields all fields of the event
  */
 record LogLine(long millis, String event, String subject, String detail, JsonNode fields) {
 
-  /** Reads a line; nothing when it holds no event. Text before the first brace is passed over. */
+  /** Parses a line, or returns empty if it has no event. Ignores text before the first brace. */
   static Optional<LogLine> parse(String text) {
     int start = text.indexOf('{');
     if (start < 0) {
@@ -39,12 +39,12 @@
           new LogLine(
               millis, entry.path("event").asText(), subject, entry.path("detail").asText(), entry));
     } catch (AdapterException | DateTimeParseException e) {
-      // A line that was cut off when its process was killed says nothing to us.
+      // The line may have been cut off when its process was killed.
       return Optional.empty();
     }
   }
 
-  /** Returns the number behind {@code name=} in the detail; 0 when there is none. */
+  /** Returns the number after {@code name=} in the details, or 0 if there is none. */
   long number(String name) {
     String key = name + "=";
     int at = (" " + detail).indexOf(" " + key);
--- a/ctl/src/main/java/org/cottontack/ctl/explain/RunHistory.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/RunHistory.java
@@ -1,10 +1,10 @@
 package org.cottontack.ctl.explain;
 
-/** What is known of one run of a task; filled in while lines are read. */
+/** The history of one run of a task, updated while log lines are read. */
 final class RunHistory {
 
-  /** How a run came to its end. */
-  enum End {
+  /** The status of a run. */
+  enum Status {
     OPEN(Cause.LOST_WORKER),
     DONE(Cause.WORK),
     FAILED(Cause.FAILED),
@@ -13,16 +13,16 @@
 
     private final Cause cause;
 
-    End(Cause cause) {
+    Status(Cause cause) {
       this.cause = cause;
     }
 
-    /** Returns what a run's time went to that ended so. */
+    /** Returns what the time of a run with this status was spent on. */
     Cause cause() {
       return cause;
     }
 
-    static End of(String word) {
+    static Status of(String word) {
       return switch (word) {
         case "DONE" -> DONE;
         case "FAILED" -> FAILED;
@@ -36,7 +36,7 @@
   final String worker;
   final long placedMillis;
   long endMillis;
-  End end = End.OPEN;
+  Status status = Status.OPEN;
   long slowedMillis;
   long expectedMillis;
 
@@ -46,8 +46,8 @@
     this.placedMillis = placedMillis;
   }
 
-  void ended(End how, long millis) {
-    end = how;
+  void ended(Status finalStatus, long millis) {
+    status = finalStatus;
     endMillis = Math.max(millis, placedMillis);
   }
 }
--- a/ctl/src/main/java/org/cottontack/ctl/explain/Span.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/Span.java
@@ -1,14 +1,14 @@
 package org.cottontack.ctl.explain;
 
 /**
- * A part of a job's time on its critical path.
+ * An interval on the critical path of a job.
  *
- * @param cause what it went to
- * @param fromMillis its begin
- * @param toMillis its end
- * @param what which run or step
+ * @param cause what the time was spent on
+ * @param fromMillis the start of the interval
+ * @param toMillis the end of the interval
+ * @param subject the run or task that the interval belongs to
  */
-record Span(Cause cause, long fromMillis, long toMillis, String what) {
+record Span(Cause cause, long fromMillis, long toMillis, String subject) {
 
   long millis() {
     return toMillis - fromMillis;
--- a/ctl/src/main/java/org/cottontack/ctl/explain/package-info.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Says from the log lines of entry instances where the time of jobs went: of one job, or of all
- * jobs of a span, by queue and cause.
+ * Determines from the log lines of entry instances what the time of jobs was spent on, for one job
+ * or for all jobs of an interval by queue and cause.
  */
 package org.cottontack.ctl.explain;
--- a/ctl/src/main/java/org/cottontack/ctl/package-info.java
+++ b/ctl/src/main/java/org/cottontack/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The operators command {@code cottontackctl}. */
+/** The command-line tool {@code cottontackctl} for operators. */
 package org.cottontack.ctl;
--- a/ctl/src/test/java/org/cottontack/ctl/MainTest.java
+++ b/ctl/src/test/java/org/cottontack/ctl/MainTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The command line without an instance: clear lines and exit codes. */
+/** Tests the messages and exit codes of {@link Main} without a running instance. */
 public final class MainTest {
 
   private MainTest() {}
@@ -28,10 +28,10 @@
         code, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
   }
 
-  /** What goes wrong. */
-  public static final class Faults {
+  /** Commands that fail. */
+  public static final class Errors {
 
-    /** Returns command lines, exit codes and what the one line must name. */
+    /** Returns command lines, their exit codes and the text that the message must contain. */
     @DataProvider(name = "lines")
     public Object[][] lines() {
       return new Object[][] {
@@ -46,9 +46,9 @@
       };
     }
 
-    /** One line names what is wrong. */
+    /** The message is one line that names the error. */
     @Test(dataProvider = "lines")
-    public void oneClearLine(String line, int code, String wanted) {
+    public void printsOneErrorLine(String line, int code, String wanted) {
       Outcome outcome = run(line);
       assertEquals(outcome.code(), code, outcome.err());
       assertEquals(outcome.err().lines().count(), 1, outcome.err());
@@ -56,20 +56,20 @@
     }
   }
 
-  /** What goes right. */
-  public static final class Good {
+  /** Commands that succeed. */
+  public static final class Success {
 
-    /** A good table is said to be good. */
+    /** A valid table is reported as good. */
     @Test
-    public void goodTable() {
+    public void acceptsValidTable() {
       Outcome outcome = run("table check ../examples/exchange/table.yaml");
       assertEquals(outcome.code(), 0);
       assertTrue(outcome.out().contains("good"));
     }
 
-    /** Help names every command. */
+    /** The help lists the commands. */
     @Test
-    public void help() {
+    public void printsHelp() {
       Outcome outcome = run("--help");
       assertEquals(outcome.code(), 0);
       assertTrue(outcome.out().contains("timeline"), outcome.out());
--- a/ctl/src/test/java/org/cottontack/ctl/explain/ExplainCommandTest.java
+++ b/ctl/src/test/java/org/cottontack/ctl/explain/ExplainCommandTest.java
@@ -16,12 +16,12 @@
 import org.cottontack.adapters.json.Json;
 import org.testng.annotations.Test;
 
-/** Where the time of jobs went, from log lines. */
+/** Tests the causes of delays that {@code explain} finds in log lines. */
 public final class ExplainCommandTest {
 
   private ExplainCommandTest() {}
 
-  /** Writes lines as instances do. */
+  /** Creates log lines in the format of entry instances. */
   private static final class Log {
     private final List<String> lines = new ArrayList<>();
 
@@ -44,9 +44,9 @@
       return Histories.of(lines.stream());
     }
 
-    Map<Cause, Long> path(String job) {
-      Histories all = histories();
-      return CriticalPath.of(all.jobs().get(job), all).stream()
+    Map<Cause, Long> timeByCause(String job) {
+      Histories histories = histories();
+      return CriticalPath.of(histories.jobs().get(job), histories).stream()
           .collect(Collectors.groupingBy(Span::cause, Collectors.summingLong(Span::millis)));
     }
   }
@@ -61,11 +61,11 @@
   }
 
   /** The critical path of one job. */
-  public static final class OnePath {
+  public static final class SingleJob {
 
-    /** A task waits 800 ms for a worker; the others of its step do not count. */
+    /** A task waits 800 ms for a worker. Other tasks of its step are not on the critical path. */
     @Test
-    public void theLastTaskDecides() {
+    public void lastTaskDeterminesPath() {
       Log log =
           new Log()
               .accepted(1_000, "a", step(2, "", ""))
@@ -74,7 +74,7 @@
               .line(2_000, "run.ended", "a.0.0.0#1", "w1 DONE ran=980 slowed=0 expected=1000")
               .line(2_900, "run.ended", "a.0.0.1#1", "w2 DONE ran=1080 slowed=0 expected=1000")
               .line(2_915, "job.ended", "a", "COMPLETE");
-      Map<Cause, Long> path = log.path("a");
+      Map<Cause, Long> path = log.timeByCause("a");
       assertEquals(path.get(Cause.ROOM), Long.valueOf(818));
       assertEquals(path.get(Cause.WORK), Long.valueOf(1_000));
       assertEquals(path.get(Cause.UNEVEN), Long.valueOf(80));
@@ -82,9 +82,11 @@
       assertEquals(path.get(Cause.INTAKE), Long.valueOf(15));
     }
 
-    /** The second step opens with the first one's last end, and its run is slowed by 500 ms. */
+    /**
+     * The second step starts after the last run of the first step, and its run is paced for 500 ms.
+     */
     @Test
-    public void stepsFollowEachOther() {
+    public void pathContinuesAcrossSteps() {
       Log log =
           new Log()
               .accepted(1_000, "a", step(1, "", "FILLS") + ", " + step(1, "0", "FILLS"))
@@ -93,15 +95,15 @@
               .line(2_020, "job.placed", "a", "table=1 left=0 1.0#1@w1")
               .line(3_520, "run.ended", "a.0.1.0#1", "w1 DONE ran=1500 slowed=500 expected=1000")
               .line(3_520, "job.ended", "a", "COMPLETE");
-      Map<Cause, Long> path = log.path("a");
+      Map<Cause, Long> path = log.timeByCause("a");
       assertEquals(path.get(Cause.PACED), Long.valueOf(500));
       assertFalse(path.containsKey(Cause.ROOM), path.toString());
       assertFalse(path.containsKey(Cause.SLOW), path.toString());
     }
 
-    /** A run is stopped and another lost with its worker before the third one is done. */
+    /** One run is stopped and another is lost with its worker before the third run is done. */
     @Test
-    public void earlierRunsOfTheTaskCount() {
+    public void earlierRunsOfTaskCount() {
       Log log =
           new Log()
               .accepted(1_000, "a", step(1, "", ""))
@@ -112,14 +114,14 @@
               .line(5_330, "job.placed", "a", "table=1 left=0 0.0#3@w3")
               .line(6_330, "run.ended", "a.0.0.0#3", "w3 DONE ran=1000 slowed=0 expected=1000")
               .line(6_330, "job.ended", "a", "COMPLETE");
-      Map<Cause, Long> path = log.path("a");
+      Map<Cause, Long> path = log.timeByCause("a");
       assertEquals(path.get(Cause.MOVED), Long.valueOf(300));
       assertEquals(path.get(Cause.LOST_WORKER), Long.valueOf(4_000));
     }
 
-    /** A wait in which nobody led is no want of room. */
+    /** A wait without a leader is not counted as a wait for capacity. */
     @Test
-    public void noLeaderIsToldFromNoRoom() {
+    public void leaderlessWaitIsNotWaitForCapacity() {
       Log log =
           new Log()
               .line(500, "leader.ready", "", "")
@@ -129,18 +131,18 @@
               .line(3_020, "job.placed", "a", "table=1 left=0 0.0#1@w1")
               .line(4_020, "run.ended", "a.0.0.0#1", "w1 DONE ran=1000 slowed=0 expected=1000")
               .line(4_020, "job.ended", "a", "COMPLETE");
-      Map<Cause, Long> path = log.path("a");
+      Map<Cause, Long> path = log.timeByCause("a");
       assertEquals(path.get(Cause.NO_LEADER), Long.valueOf(2_002));
       assertFalse(path.containsKey(Cause.ROOM), path.toString());
     }
   }
 
-  /** Waits beside evacuations. */
+  /** Waits during evacuations. */
   public static final class Evacuations {
 
-    /** A wait of a second, 600 ms of it while one or both of two data centres were emptied. */
+    /** A task waits for 1 s, of which one or both of two data centres are evacuated for 600 ms. */
     @Test
-    public void waitsAreToldFromThoseForRoom() {
+    public void evacuationWaitIsNotWaitForCapacity() {
       Log log =
           new Log()
               .accepted(1_000, "a", step(1, "", ""))
@@ -151,14 +153,14 @@
               .line(2_002, "job.placed", "a", "table=1 left=0 0.0#1@w1")
               .line(3_002, "run.ended", "a.0.0.0#1", "w1 DONE ran=1000 slowed=0 expected=1000")
               .line(3_002, "job.ended", "a", "COMPLETE");
-      Map<Cause, Long> path = log.path("a");
+      Map<Cause, Long> path = log.timeByCause("a");
       assertEquals(path.get(Cause.EVACUATED), Long.valueOf(600));
       assertEquals(path.get(Cause.ROOM), Long.valueOf(400));
     }
 
-    /** An evacuation that goes on to the end of the logs counts to there. */
+    /** An evacuation without an end counts until the last log line. */
     @Test
-    public void evacuationsMayHaveNoEnd() {
+    public void openEvacuationCountsToEndOfLogs() {
       Log log =
           new Log()
               .accepted(1_000, "a", step(1, "", ""))
@@ -166,11 +168,11 @@
               .line(2_002, "job.placed", "a", "table=1 left=0 0.0#1@w1")
               .line(3_002, "run.ended", "a.0.0.0#1", "w1 DONE ran=1000 slowed=0 expected=1000")
               .line(3_002, "job.ended", "a", "COMPLETE");
-      assertEquals(log.path("a").get(Cause.EVACUATED), Long.valueOf(500));
+      assertEquals(log.timeByCause("a").get(Cause.EVACUATED), Long.valueOf(500));
     }
   }
 
-  /** The command over a file. */
+  /** The command on a log file. */
   public static final class Command {
 
     private static String explain(String job) {
@@ -181,9 +183,12 @@
       return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    /** One job waited for a place, the other was in time: half of the value is lost to that. */
+    /**
+     * One job waited for a place and the other was in time. Nearly half of the value is lost to the
+     * wait.
+     */
     @Test
-    public void tableNamesTheCause() {
+    public void tableShowsLossByCause() {
       String text = explain("");
       assertTrue(text.contains("waited for a place"), text);
       assertTrue(
@@ -192,15 +197,15 @@
     }
 
     @Test
-    public void oneJobIsToldSpanBySpan() {
+    public void printsSpansOfOneJob() {
       String text = explain("b000000000000002");
       assertTrue(text.contains("COMPLETE after 4023 ms, objective 1750 ms"), text);
       assertTrue(text.lines().anyMatch(line -> line.matches(".* 3008 ms  waited for a place .*")));
     }
 
-    /** Lines that are cut off, and lines of other programs, are passed over. */
+    /** Truncated lines and lines of other programs are ignored. */
     @Test
-    public void otherLinesArePassedOver() {
+    public void skipsOtherLines() {
       assertTrue(LogLine.parse("no brace").isEmpty());
       assertTrue(LogLine.parse("{\"time\":\"1970-01-01T00:00:00Z\",\"ent").isEmpty());
       assertTrue(LogLine.parse("{\"time\":\"now\",\"entry\":{\"event\":\"x\"}}").isEmpty());
