--- a/spec/src/test/java/org/cottontack/spec/ModelsTest.java
+++ b/spec/src/test/java/org/cottontack/spec/ModelsTest.java
@@ -18,8 +18,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks every command of every model. A model's {@code holds} must have no counterexample; each of
- * its {@code without…} commands, which leaves one safeguard out, must have one.
+ * Checks every command of every Alloy model. The command {@code holds} of a model must have no
+ * counterexample. Each {@code without…} command leaves out one safeguard and must have a
+ * counterexample, which shows that the safeguard is necessary.
  */
 public final class ModelsTest {
 
@@ -28,7 +29,7 @@
 
   private ModelsTest() {}
 
-  /** The commands, one test each. */
+  /** Runs each command as one test. */
   public static final class Commands {
 
     /** Returns the commands of all models. */
@@ -47,7 +48,7 @@
       return CompUtil.parseEverything_fromFile(A4Reporter.NOP, null, file);
     }
 
-    /** The solver finds an instance exactly where the model says that there is one. */
+    /** The solver finds an instance if and only if the command expects one. */
     @Test(dataProvider = "commands")
     public void commandIsAsExpected(String model, String label, Module module, Command command) {
       A4Options options = new A4Options();
@@ -58,7 +59,7 @@
       assertEquals(solution.satisfiable(), command.expects == 1, model + "." + label);
     }
 
-    /** Every model has an assertion that holds and at least two safeguards it rests on. */
+    /** Every model has the command {@code holds} and at least two that leave out a safeguard. */
     @Test
     public void everyModelShowsItsSafeguards() {
       for (String model : MODELS) {
--- a/spec/src/test/java/org/cottontack/spec/package-info.java
+++ b/spec/src/test/java/org/cottontack/spec/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the Alloy models of the core protocol and replays their traces. */
+/** Checks the Alloy models of the core protocol. */
 package org.cottontack.spec;
--- a/standin/src/main/java/org/cottontack/standin/Control.java
+++ b/standin/src/main/java/org/cottontack/standin/Control.java
@@ -10,14 +10,14 @@
 import org.cottontack.standin.platform.StoreFault;
 import org.cottontack.standin.worker.WorkerFault;
 
-/** Lets tests and trials look into the stand-ins and make them fail, over HTTP. */
+/** HTTP routes through which tests and trials inspect the stand-ins and inject faults. */
 final class Control implements AutoCloseable {
 
-  private final World world;
+  private final StandIns standIns;
   private final HttpServer server;
 
-  Control(EventLoopGroup group, Address address, World world) {
-    this.world = world;
+  Control(EventLoopGroup group, Address address, StandIns standIns) {
+    this.standIns = standIns;
     this.server = HttpServer.listen(group, address, this::serve);
   }
 
@@ -27,45 +27,53 @@
 
   private void serve(HttpCall call) {
     try {
-      call.json(200, answer(call));
+      call.json(200, handle(call));
     } catch (IllegalArgumentException e) {
       call.json(400, Json.write(e.getMessage()));
     }
   }
 
-  private String answer(HttpCall call) {
+  private String handle(HttpCall call) {
     switch (call.path()) {
       case "/control/ledger" -> {
-        return Json.write(world.ledger().report());
+        return Json.write(standIns.ledger().report());
       }
       case "/control/store-counts" -> {
-        return Json.write(world.platform().counts());
+        return Json.write(standIns.platform().counts());
       }
-      case "/control/store" -> fault(world.platform(), call);
+      case "/control/store" -> setStoreFault(standIns.platform(), call);
       case "/control/worker" ->
-          world.workers().get(name(call)).fault(WorkerFault.forWord(text(call, "fault")));
-      case "/control/worker-restart" -> world.workers().get(name(call)).restart();
+          standIns
+              .workers()
+              .get(name(call))
+              .setFault(WorkerFault.forWord(parameter(call, "fault")));
+      case "/control/worker-restart" -> standIns.workers().get(name(call)).restart();
       case "/control/endpoint" ->
-          world.endpoints().get(name(call)).fault(EndpointFault.forWord(text(call, "fault")));
+          standIns
+              .endpoints()
+              .get(name(call))
+              .setFault(EndpointFault.forWord(parameter(call, "fault")));
       case "/control/endpoint-millis" ->
-          world.endpoints().get(name(call)).serviceMillis(Long.parseLong(text(call, "millis")));
-      case "/control/leaving" -> world.leaving(name(call));
+          standIns
+              .endpoints()
+              .get(name(call))
+              .setServiceMillis(Long.parseLong(parameter(call, "millis")));
+      case "/control/leaving" -> standIns.markLeaving(name(call));
       default -> throw new IllegalArgumentException("no route " + call.path());
     }
     return "{}";
   }
 
-  private static void fault(PlatformStandIn platform, HttpCall call) {
-    platform.fault(text(call, "dc"), StoreFault.forWord(text(call, "fault")));
+  private static void setStoreFault(PlatformStandIn platform, HttpCall call) {
+    platform.setFault(parameter(call, "dc"), StoreFault.forWord(parameter(call, "fault")));
   }
 
   private static String name(HttpCall call) {
-    return text(call, "name");
+    return parameter(call, "name");
   }
 
-  private static String text(HttpCall call, String parameter) {
-    return call.query(parameter)
-        .orElseThrow(() -> new IllegalArgumentException("give ?" + parameter + "="));
+  private static String parameter(HttpCall call, String key) {
+    return call.query(key).orElseThrow(() -> new IllegalArgumentException("give ?" + key + "="));
   }
 
   @Override
--- a/standin/src/main/java/org/cottontack/standin/FreePorts.java
+++ b/standin/src/main/java/org/cottontack/standin/FreePorts.java
@@ -7,39 +7,44 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
 
-/** Finds ports for processes that are about to start and listen on them. */
+/** Allocates loopback ports for processes that are about to start and listen on them. */
 public final class FreePorts {
 
-  /** The system gives higher ports to connections by itself, at any moment. */
-  private static final int LEAST = 12_000;
+  /**
+   * First port of the range. The range ends below the ephemeral ports, which the system may assign
+   * to outgoing connections at any time.
+   */
+  private static final int LOWEST_PORT = 12_000;
 
-  private static final int COUNT = 20_000;
+  private static final int PORT_COUNT = 20_000;
 
-  // Each port is given once in a long while: one that is free now may be given to a process already
-  // that does not listen yet, and whichever comes second would end.
-  private static final AtomicInteger NEXT =
-      new AtomicInteger(ThreadLocalRandom.current().nextInt(COUNT));
+  // Each port is returned once per pass over the range. A port that is free now may already have
+  // been allocated to a process that does not listen yet, and the second process to bind it would
+  // exit.
+  private static final AtomicInteger NEXT_OFFSET =
+      new AtomicInteger(ThreadLocalRandom.current().nextInt(PORT_COUNT));
 
   private FreePorts() {}
 
   /**
-   * Returns a port on which nobody listens, and which is not given again for a long while.
+   * Returns a port on which no process listens. It is not returned again until all other ports of
+   * the range have been tried.
    *
-   * @throws IllegalStateException when none is found
+   * @throws IllegalStateException if no port of the range is free
    */
   public static int next() {
-    return IntStream.range(0, COUNT)
-        .map(i -> LEAST + NEXT.getAndIncrement() % COUNT)
-        .filter(FreePorts::free)
+    return IntStream.range(0, PORT_COUNT)
+        .map(i -> LOWEST_PORT + NEXT_OFFSET.getAndIncrement() % PORT_COUNT)
+        .filter(FreePorts::isFree)
         .findFirst()
         .orElseThrow(() -> new IllegalStateException("no free port"));
   }
 
-  private static boolean free(int port) {
+  private static boolean isFree(int port) {
     try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
       return socket.isBound();
     } catch (IOException e) {
-      // Somebody listens there; the next port is tried.
+      // The port is in use; the caller tries the next one.
       return false;
     }
   }
--- a/standin/src/main/java/org/cottontack/standin/Main.java
+++ b/standin/src/main/java/org/cottontack/standin/Main.java
@@ -11,7 +11,7 @@
 import org.cottontack.adapters.Address;
 import org.cottontack.core.task.Demand;
 
-/** Runs the stand-ins until the process is ended. */
+/** Command line entry point: runs the stand-ins until the process is terminated. */
 public final class Main {
 
   private static final int IO_THREADS = 4;
@@ -81,10 +81,11 @@
   private void run() throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
     Demand capacity = new Demand(cores * 1_000, memoryMb, accelerators);
-    World.Plan plan =
-        new World.Plan(dataCentres, storePort, workers, endpoints, slots, serviceMillis, capacity);
-    try (World world = new World(group, plan);
-        Control control = new Control(group, new Address("127.0.0.1", controlPort), world)) {
+    StandIns.Plan plan =
+        new StandIns.Plan(
+            dataCentres, storePort, workers, endpoints, slots, serviceMillis, capacity);
+    try (StandIns standIns = new StandIns(group, plan);
+        Control control = new Control(group, new Address("127.0.0.1", controlPort), standIns)) {
       System.out.println("stand-ins ready, control on " + control.address());
       Thread.currentThread().join();
     }
--- a/standin/src/main/java/org/cottontack/standin/World.java
+++ b/standin/src/main/java/org/cottontack/standin/StandIns.java
@@ -19,10 +19,13 @@
 import org.cottontack.standin.platform.PlatformStandIn;
 import org.cottontack.standin.worker.WorkerStandIn;
 
-/** Platform, workers and endpoints of all data centres, on loopback addresses of their own. */
-public final class World implements AutoCloseable {
+/**
+ * The stand-ins of the platform, workers and endpoints of all data centres. Each listens on its own
+ * loopback address.
+ */
+public final class StandIns implements AutoCloseable {
 
-  private static final int PER_RACK = 6;
+  private static final int WORKERS_PER_RACK = 6;
 
   private final Ledger ledger = new Ledger();
   private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
@@ -32,15 +35,16 @@
   private final PlatformStandIn platform;
 
   /**
-   * What there is to be.
+   * The stand-ins to start.
    *
-   * @param dataCentres their names, in the order of the platform's ports
-   * @param storePort the platform's port for the first data centre; the others follow
-   * @param workers in each data centre
-   * @param endpoints in each data centre
-   * @param slots of each endpoint
-   * @param serviceMillis how long a request takes
-   * @param capacity of each worker
+   * @param dataCentres names of the data centres, in the order of the platform's ports
+   * @param storePort the platform's port for the first data centre; the other data centres use the
+   *     ports after it. With 0 the system chooses a free port for each
+   * @param workers number of workers in each data centre
+   * @param endpoints number of endpoints in each data centre
+   * @param slots number of slots of each endpoint
+   * @param serviceMillis default duration of a request, in milliseconds
+   * @param capacity resources of each worker
    */
   public record Plan(
       List<String> dataCentres,
@@ -51,9 +55,9 @@
       long serviceMillis,
       Demand capacity) {}
 
-  /** Starts everything. */
-  public World(EventLoopGroup group, Plan plan) {
-    plan.dataCentres().forEach(dataCentre -> populate(group, plan, dataCentre));
+  /** Starts all stand-ins of a plan. */
+  public StandIns(EventLoopGroup group, Plan plan) {
+    plan.dataCentres().forEach(dataCentre -> addInstances(group, plan, dataCentre));
     Map<String, Address> addresses = new LinkedHashMap<>();
     IntStream.range(0, plan.dataCentres().size())
         .forEach(
@@ -64,11 +68,11 @@
     platform = new PlatformStandIn(group, addresses, this::members);
   }
 
-  private void populate(EventLoopGroup group, Plan plan, String dataCentre) {
-    Address any = new Address("127.0.0.1", 0);
+  private void addInstances(EventLoopGroup group, Plan plan, String dataCentre) {
+    Address anyPort = new Address("127.0.0.1", 0);
     for (int i = 0; i < plan.workers(); i++) {
       String name = dataCentre + "-w" + i;
-      WorkerStandIn worker = new WorkerStandIn(group, any, name, plan.capacity(), ledger);
+      WorkerStandIn worker = new WorkerStandIn(group, anyPort, name, plan.capacity(), ledger);
       workers.put(name, worker);
       members.add(
           new MemberInfo(
@@ -79,12 +83,12 @@
               false,
               0,
               plan.capacity(),
-              "rack-" + i / PER_RACK));
+              "rack-" + i / WORKERS_PER_RACK));
     }
     for (int i = 0; i < plan.endpoints(); i++) {
       String name = dataCentre + "-e" + i;
       EndpointStandIn endpoint =
-          new EndpointStandIn(group, any, name, plan.slots(), plan.serviceMillis(), ledger);
+          new EndpointStandIn(group, anyPort, name, plan.slots(), plan.serviceMillis(), ledger);
       endpoints.put(name, endpoint);
       members.add(
           new MemberInfo(
@@ -115,33 +119,36 @@
         member.rack());
   }
 
-  /** Lists another world's instances in place of its own, as a wrong platform would. */
-  public void adoptMembersOf(World other) {
+  /**
+   * Replaces the instances that the platform lists by those of other stand-ins, as a misconfigured
+   * platform would do.
+   */
+  public void replaceMembersWith(StandIns other) {
     members.clear();
     members.addAll(other.members);
   }
 
-  /** Marks a worker or an endpoint as leaving in the platform's list. */
-  public void leaving(String name) {
+  /** Marks a worker or an endpoint as leaving in the platform's list of instances. */
+  public void markLeaving(String name) {
     leaving.add(name);
   }
 
-  /** Returns the ledger. */
+  /** Returns the ledger that all workers and endpoints write to. */
   public Ledger ledger() {
     return ledger;
   }
 
-  /** Returns the platform. */
+  /** Returns the stand-in of the platform. */
   public PlatformStandIn platform() {
     return platform;
   }
 
-  /** Returns the workers by name. */
+  /** Returns the worker stand-ins by name. */
   public Map<String, WorkerStandIn> workers() {
     return workers;
   }
 
-  /** Returns the endpoints by name. */
+  /** Returns the endpoint stand-ins by name. */
   public Map<String, EndpointStandIn> endpoints() {
     return endpoints;
   }
@@ -150,14 +157,14 @@
   public void close() {
     platform.close();
     Stream.concat(workers.values().stream(), endpoints.values().stream())
-        .forEach(World::closeQuietly);
+        .forEach(StandIns::closeQuietly);
   }
 
   private static void closeQuietly(AutoCloseable closeable) {
     try {
       closeable.close();
     } catch (Exception e) {
-      throw new IllegalStateException("a stand-in did not close", e);
+      throw new IllegalStateException("cannot close a stand-in", e);
     }
   }
 }
--- a/standin/src/main/java/org/cottontack/standin/endpoint/EndpointFault.java
+++ b/standin/src/main/java/org/cottontack/standin/endpoint/EndpointFault.java
@@ -3,16 +3,16 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** How the stand-in of an endpoint misbehaves. */
+/** Faults that the endpoint stand-in can simulate. */
 public enum EndpointFault {
-  /** It answers. */
+  /** No fault: requests run and are answered. */
   NONE,
-  /** It runs requests and closes the connection instead of answering. */
+  /** Requests run, but the connection is closed without an answer. */
   DROPS_ANSWERS,
-  /** It answers at once with an error and runs nothing. */
+  /** Every request is answered at once with an error and does not run. */
   FAST_ERRORS;
 
-  /** Returns the fault for a word. */
+  /** Returns the fault with the given name in lower case. */
   public static EndpointFault forWord(String word) {
     return Stream.of(values())
         .filter(fault -> fault.name().toLowerCase(Locale.ROOT).equals(word))
--- a/standin/src/main/java/org/cottontack/standin/endpoint/EndpointStandIn.java
+++ b/standin/src/main/java/org/cottontack/standin/endpoint/EndpointStandIn.java
@@ -17,8 +17,9 @@
 import org.cottontack.standin.ledger.Ledger;
 
 /**
- * An endpoint whose requests take as long as their body says ({@code millis}) or its default. It
- * refuses nothing: a request beyond its slots is run and noted in the ledger as a violation.
+ * Stand-in of an endpoint. A request takes as many milliseconds as the {@code millis} field of its
+ * body says, or a default duration. No request is refused for lack of a slot: a request beyond the
+ * slots runs, and the ledger records it as a violation.
  */
 public final class EndpointStandIn implements AutoCloseable {
 
@@ -28,31 +29,36 @@
   private final EventLoopGroup group;
   private final Set<String> running = ConcurrentHashMap.newKeySet();
   private final HttpServer server;
-  private volatile long millis;
+  private volatile long serviceMillis;
   private volatile EndpointFault fault = EndpointFault.NONE;
 
-  /** Starts to listen. */
+  /** Starts the endpoint and listens at the given address. */
   public EndpointStandIn(
-      EventLoopGroup group, Address address, String name, int slots, long millis, Ledger ledger) {
+      EventLoopGroup group,
+      Address address,
+      String name,
+      int slots,
+      long serviceMillis,
+      Ledger ledger) {
     this.group = group;
     this.name = name;
     this.slots = slots;
-    this.millis = millis;
+    this.serviceMillis = serviceMillis;
     this.ledger = ledger;
     this.server = HttpServer.listen(group, address, this::serve);
   }
 
-  /** Makes it misbehave, until told otherwise. */
-  public void fault(EndpointFault value) {
+  /** Sets the fault to simulate until this method is called again. */
+  public void setFault(EndpointFault value) {
     fault = value;
   }
 
-  /** Changes how long its requests take, in milliseconds. */
-  public void serviceMillis(long value) {
-    millis = value;
+  /** Sets the default duration of a request, in milliseconds. */
+  public void setServiceMillis(long value) {
+    serviceMillis = value;
   }
 
-  /** Returns where it listens. */
+  /** Returns the address that the endpoint listens on. */
   public Address address() {
     return server.address();
   }
@@ -77,7 +83,7 @@
     JsonNode body = Json.tree(call.text());
     running.add(attempt);
     ledger.requestStarted(name, call.text(), body.path("once").asBoolean(), running.size(), slots);
-    long wait = body.path("millis").asLong(millis);
+    long wait = body.path("millis").asLong(serviceMillis);
     if (wait == 0) {
       finish(call, attempt);
     } else {
--- a/standin/src/main/java/org/cottontack/standin/endpoint/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of endpoints. */
+/** Stand-in of an endpoint, with simulated faults. */
 package org.cottontack.standin.endpoint;
--- a/standin/src/main/java/org/cottontack/standin/experiment/DaemonProcess.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/DaemonProcess.java
@@ -7,7 +7,7 @@
 import org.cottontack.adapters.Address;
 import org.cottontack.standin.FreePorts;
 
-/** An entry instance started for an experiment, with what the system says it uses. */
+/** Process of an entry instance started for an experiment, with its processor time. */
 final class DaemonProcess implements AutoCloseable {
 
   private static final double TICKS_PER_SECOND = 100;
@@ -62,7 +62,7 @@
     return operators;
   }
 
-  /** Returns processor time used so far, in seconds. */
+  /** Returns the user and system processor time used so far, in seconds. */
   double cpuSeconds() {
     String stat = read("/proc/" + process.pid() + "/stat");
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
--- a/standin/src/main/java/org/cottontack/standin/experiment/DirectCall.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/DirectCall.java
@@ -7,7 +7,7 @@
 import org.cottontack.adapters.request.HttpEndpoints;
 import org.cottontack.core.peer.Payload;
 
-/** The baseline: callers send straight to endpoints in turn. */
+/** The baseline without a scheduler: callers send directly to the endpoints, round robin. */
 final class DirectCall {
 
   private DirectCall() {}
--- a/standin/src/main/java/org/cottontack/standin/experiment/Bench.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/ExperimentCluster.java
@@ -15,33 +15,37 @@
 import org.cottontack.adapters.http.HttpClient;
 import org.cottontack.adapters.http.HttpResult;
 import org.cottontack.core.peer.Payload;
-import org.cottontack.standin.World;
+import org.cottontack.standin.StandIns;
 
-/** Stand-ins in this process, entry instances as processes, and a table in force. */
-final class Bench implements AutoCloseable {
+/**
+ * Stand-ins in this process and entry instances as separate processes. The constructor returns when
+ * all entry instances serve requests by the table.
+ */
+final class ExperimentCluster implements AutoCloseable {
 
   private static final int WAIT_SECONDS = 120;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final HttpClient client = new HttpClient(group);
-  private final World world;
+  private final StandIns standIns;
   private final List<DaemonProcess> daemons = new ArrayList<>();
 
-  Bench(Path workspace, World.Plan plan, int entriesEach, int rows) {
-    world = new World(group, plan);
+  ExperimentCluster(Path workspace, StandIns.Plan plan, int entriesEach, int rows) {
+    standIns = new StandIns(group, plan);
     for (String dataCentre : plan.dataCentres()) {
       for (int i = 0; i < entriesEach; i++) {
-        daemons.add(new DaemonProcess(workspace, dataCentre, world.platform().address(dataCentre)));
+        daemons.add(
+            new DaemonProcess(workspace, dataCentre, standIns.platform().address(dataCentre)));
       }
     }
-    daemons.forEach(d -> until(() -> get(d.operators(), "/health/live").is(200)));
-    until(() -> put(daemons.get(0).operators(), Tables.text(rows)).is(200));
-    daemons.forEach(d -> until(() -> request(d, 1).is(200)));
+    daemons.forEach(d -> waitUntil(() -> get(d.operators(), "/health/live").is(200)));
+    waitUntil(() -> put(daemons.get(0).operators(), Tables.text(rows)).is(200));
+    daemons.forEach(d -> waitUntil(() -> request(d, 1).is(200)));
   }
 
-  World world() {
-    return world;
+  StandIns standIns() {
+    return standIns;
   }
 
   HttpClient client() {
@@ -52,11 +56,11 @@
     return daemons;
   }
 
-  static void until(BooleanSupplier condition) {
+  static void waitUntil(BooleanSupplier condition) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new IllegalStateException("the experiment did not get ready");
+        throw new IllegalStateException("the experiment did not reach the expected state in time");
       }
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(100));
     }
@@ -101,7 +105,7 @@
   @Override
   public void close() {
     daemons.forEach(DaemonProcess::close);
-    world.close();
+    standIns.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/standin/src/main/java/org/cottontack/standin/experiment/Main.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/Main.java
@@ -9,10 +9,13 @@
 import java.util.Map;
 import org.cottontack.adapters.json.Json;
 
-/** Runs one experiment; its last line of output is one JSON object with the figures. */
+/**
+ * Command line entry point: runs one experiment. The last line of output is one JSON object with
+ * the figures.
+ */
 public final class Main {
 
-  private static final String NAMES =
+  private static final String EXPERIMENTS =
       "path     p99 through an entry instance against p99 straight to the endpoint\n"
           + "urgent   time from submission to start at a steady rate\n"
           + "sharing  how evenly and stably members share resources";
@@ -27,7 +30,7 @@
   private double load = 0.5;
 
   @Parameter(description = "list, or the name of an experiment")
-  private List<String> words = new ArrayList<>();
+  private List<String> arguments = new ArrayList<>();
 
   private Main() {}
 
@@ -46,22 +49,22 @@
   }
 
   private int run(JCommander commander) {
-    if (help || words.isEmpty()) {
+    if (help || arguments.isEmpty()) {
       commander.usage();
       return help ? 0 : 2;
     }
     Path workspace = Path.of("").toAbsolutePath();
     Map<String, Object> figures =
-        switch (words.get(0)) {
+        switch (arguments.get(0)) {
           case "list" -> Map.of();
           case "path" -> PathExperiment.run(workspace, seconds, load);
           case "urgent" -> UrgentExperiment.run(workspace, seconds);
           case "sharing" -> SharingExperiment.run();
           default ->
               throw new ParameterException(
-                  "no experiment is named " + words.get(0) + "; try: experiment.sh list");
+                  "no experiment is named " + arguments.get(0) + "; try: experiment.sh list");
         };
-    System.out.println(figures.isEmpty() ? NAMES : Json.write(figures));
+    System.out.println(figures.isEmpty() ? EXPERIMENTS : Json.write(figures));
     return 0;
   }
 }
--- a/standin/src/main/java/org/cottontack/standin/experiment/OpenLoop.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/OpenLoop.java
@@ -10,12 +10,13 @@
 import org.cottontack.adapters.http.HttpResult;
 
 /**
- * Sends requests at times fixed in advance, whether earlier ones were answered or not, and counts
- * each from its planned time, so that a stall is not left out of the latencies.
+ * Open-loop load generator: sends requests at times fixed in advance, whether or not earlier
+ * requests were answered. Each latency is measured from the planned send time, so that the
+ * latencies include the delays caused by a stall.
  */
 final class OpenLoop {
 
-  private static final long HIGHEST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
 
   private final HttpClient client;
 
@@ -24,13 +25,13 @@
   }
 
   /**
-   * What came of a run.
+   * Counts and latencies of one load run.
    *
-   * @param micros latencies of good answers in microseconds
-   * @param good answers with status 200
-   * @param other everything else
+   * @param micros latencies of the answers with status 200, in microseconds
+   * @param succeeded number of answers with status 200
+   * @param failed number of all other results
    */
-  record Result(Histogram micros, long good, long other) {
+  record Result(Histogram micros, long succeeded, long failed) {
 
     double p99Millis() {
       return micros.getValueAtPercentile(99) / 1_000.0;
@@ -42,9 +43,9 @@
   }
 
   Result run(double perSecond, double seconds, LongFunction<HttpClient.Spec> requests) {
-    Histogram micros = new ConcurrentHistogram(HIGHEST_MICROS, 3);
-    AtomicLong good = new AtomicLong();
-    AtomicLong other = new AtomicLong();
+    Histogram micros = new ConcurrentHistogram(MAX_MICROS, 3);
+    AtomicLong succeeded = new AtomicLong();
+    AtomicLong failed = new AtomicLong();
     long total = Math.round(perSecond * seconds);
     long start = System.nanoTime();
     for (long i = 0; i < total; i++) {
@@ -53,21 +54,22 @@
       client.call(
           requests.apply(i),
           result -> {
-            count(result, micros, planned, good);
+            count(result, micros, planned, succeeded);
             if (!result.is(200)) {
-              other.incrementAndGet();
+              failed.incrementAndGet();
             }
           });
     }
-    Bench.until(() -> good.get() + other.get() >= total);
-    return new Result(micros, good.get(), other.get());
+    ExperimentCluster.waitUntil(() -> succeeded.get() + failed.get() >= total);
+    return new Result(micros, succeeded.get(), failed.get());
   }
 
-  private static void count(HttpResult result, Histogram micros, long planned, AtomicLong good) {
+  private static void count(
+      HttpResult result, Histogram micros, long planned, AtomicLong succeeded) {
     if (result.is(200)) {
       long taken = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - planned);
-      micros.recordValue(Math.min(HIGHEST_MICROS, Math.max(1, taken)));
-      good.incrementAndGet();
+      micros.recordValue(Math.min(MAX_MICROS, Math.max(1, taken)));
+      succeeded.incrementAndGet();
     }
   }
 
--- a/standin/src/main/java/org/cottontack/standin/experiment/SharingExperiment.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/SharingExperiment.java
@@ -7,7 +7,10 @@
 import org.cottontack.core.id.InstanceId;
 import org.cottontack.core.ownership.Rendezvous;
 
-/** How many members' shares move when one comes, and how fast ownership is decided. */
+/**
+ * Measures which share of the resources changes its owner when a member joins, how evenly resources
+ * are shared, and how long one ownership decision takes.
+ */
 final class SharingExperiment {
 
   private static final int RESOURCES = 4_700;
--- a/standin/src/main/java/org/cottontack/standin/experiment/Tables.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/Tables.java
@@ -3,13 +3,13 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Tables of any number of rows for experiments. */
+/** Builds tables with a given number of rows for experiments. */
 final class Tables {
 
   private Tables() {}
 
   static String text(int rows) {
-    String fillers =
+    String otherRows =
         IntStream.range(0, Math.max(0, rows - 2))
             .mapToObj(i -> service("filler-" + i))
             .collect(Collectors.joining());
@@ -18,7 +18,7 @@
         + "  - {name: job, kind: batch, team: team, weight: 10, idempotent: true,"
         + " deadlineMillis: 36000000, maxInFlight: 100000,"
         + " demand: {cpuMillis: 1000, memoryMb: 100, accelerators: 0}}\n"
-        + fillers;
+        + otherRows;
   }
 
   private static String service(String name) {
--- a/standin/src/main/java/org/cottontack/standin/experiment/UrgentExperiment.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/UrgentExperiment.java
@@ -10,10 +10,10 @@
 import org.cottontack.adapters.http.HttpClient;
 import org.cottontack.core.peer.Payload;
 import org.cottontack.core.task.Demand;
-import org.cottontack.standin.World;
+import org.cottontack.standin.StandIns;
 import org.cottontack.standin.ledger.Ledger;
 
-/** Time from submission to start on a worker at a steady rate of submissions. */
+/** Measures the time from submission to start on a worker at a steady rate of submissions. */
 final class UrgentExperiment {
 
   private static final double STARTS_PER_SECOND = 11;
@@ -22,8 +22,9 @@
   private UrgentExperiment() {}
 
   static Map<String, Object> run(Path workspace, double seconds) {
-    World.Plan plan = new World.Plan(List.of("dc"), 0, 94, 4, 8, 5, new Demand(32_000, 125_000, 1));
-    try (Bench bench = new Bench(workspace, plan, 3, 4)) {
+    StandIns.Plan plan =
+        new StandIns.Plan(List.of("dc"), 0, 94, 4, 8, 5, new Demand(32_000, 125_000, 1));
+    try (ExperimentCluster cluster = new ExperimentCluster(workspace, plan, 3, 4)) {
       int total = (int) Math.round(STARTS_PER_SECOND * seconds);
       long[] submitted = new long[total];
       long start = System.nanoTime();
@@ -35,21 +36,23 @@
         submitted[i] = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
         String body =
             "{\"id\":\"u-%d\",\"row\":\"job\",\"input\":{\"millis\":%d}}".formatted(i, TASK_MILLIS);
-        bench
+        cluster
             .client()
             .call(
                 HttpClient.Spec.post(
-                    bench.daemons().get(i % 3).callers(), "/v1/tasks", Payload.of(body), 10_000),
+                    cluster.daemons().get(i % 3).callers(), "/v1/tasks", Payload.of(body), 10_000),
                 result -> {});
       }
-      Bench.until(() -> bench.world().ledger().report().taskRuns().size() >= total);
-      return figures(bench, submitted, total);
+      ExperimentCluster.waitUntil(
+          () -> cluster.standIns().ledger().report().taskRuns().size() >= total);
+      return figures(cluster, submitted, total);
     }
   }
 
-  private static Map<String, Object> figures(Bench bench, long[] submitted, int total) {
+  private static Map<String, Object> figures(
+      ExperimentCluster cluster, long[] submitted, int total) {
     Histogram millis = new Histogram(60_000, 3);
-    Ledger.Report report = bench.world().ledger().report();
+    Ledger.Report report = cluster.standIns().ledger().report();
     report
         .taskRuns()
         .forEach(
--- a/standin/src/main/java/org/cottontack/standin/experiment/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments: drive real processes over loopback and count; no simulator. */
+/** Experiments that send load to real processes over loopback, without a simulator. */
 package org.cottontack.standin.experiment;
--- a/standin/src/main/java/org/cottontack/standin/ledger/Ledger.java
+++ b/standin/src/main/java/org/cottontack/standin/ledger/Ledger.java
@@ -7,31 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * An independent record of what ran, where, when and how often. It knows nothing of the scheduler's
- * state, so it sees a violation the scheduler does not know of.
+ * Record of what ran, where, when and how often. It is independent of the scheduler's state and
+ * therefore also detects violations that the scheduler does not notice.
  */
 public final class Ledger {
 
   /**
    * One run of a task.
    *
-   * @param task the task
-   * @param attempt its attempt
-   * @param worker where
-   * @param startedAt milliseconds of this process's monotonic clock
-   * @param endedAt the same, or -1 while it runs
-   * @param end how it ended, or null while it runs
+   * @param task identifier of the task
+   * @param attempt number of the attempt
+   * @param worker name of the worker that ran it
+   * @param startedAt start time, in milliseconds of this process's monotonic clock
+   * @param endedAt end time on the same clock, or -1 while the task runs
+   * @param end status at the end, or null while the task runs
    */
   public record TaskRun(
       String task, int attempt, String worker, long startedAt, long endedAt, String end) {}
 
   /**
-   * All that was recorded.
+   * Copy of everything recorded so far.
    *
-   * @param violations promises that were broken, one line each
-   * @param requestRuns how often each request ran, by its body
+   * @param violations violated guarantees, one line each
+   * @param requestRuns number of runs of each request, by request body
    * @param taskRuns every run of every task
-   * @param maxSlots most slots of each endpoint that were taken at once
+   * @param maxSlots maximum number of slots of each endpoint that were occupied at once
    */
   public record Report(
       List<String> violations,
@@ -45,21 +45,26 @@
   private final List<TaskRun> ended = new ArrayList<>();
   private final Map<String, TaskRun> running = new HashMap<>();
 
-  /** Records that an endpoint began to run a request. */
+  /**
+   * Records that an endpoint began to run a request. It is a violation if a request with {@code
+   * once} runs again or if more slots are occupied than the endpoint has.
+   */
   public synchronized void requestStarted(
-      String endpoint, String body, boolean once, int taken, int slots) {
+      String endpoint, String body, boolean once, int occupied, int slots) {
     int runs = requestRuns.merge(body, 1, Integer::sum);
-    maxSlots.merge(endpoint, taken, Math::max);
+    maxSlots.merge(endpoint, occupied, Math::max);
     if (once && runs > 1) {
       violations.add("non-idempotent request ran " + runs + " times: " + body);
     }
-    if (taken > slots) {
-      violations.add("endpoint " + endpoint + " ran " + taken + " requests in " + slots + " slots");
+    if (occupied > slots) {
+      violations.add(
+          "endpoint " + endpoint + " ran " + occupied + " requests in " + slots + " slots");
     }
   }
 
   /**
-   * Records that a worker began to run a task, which may finish only {@code once} or more often.
+   * Records that a worker began to run a task. It is a violation if the task still runs elsewhere,
+   * or if a task with {@code once} runs again after it finished.
    */
   public synchronized void taskStarted(
       String task, int attempt, String worker, boolean once, long now) {
@@ -75,7 +80,7 @@
     running.put(task, new TaskRun(task, attempt, worker, now, -1, null));
   }
 
-  /** Records that a run of a task ended. */
+  /** Records the end of a task run and its status. */
   public synchronized void taskEnded(String task, int attempt, String end, long now) {
     TaskRun run = running.get(task);
     if (run != null && run.attempt() == attempt) {
@@ -84,12 +89,12 @@
     }
   }
 
-  /** Records that a worker was given more than it can hold. */
-  public synchronized void overfull(String worker, String detail) {
+  /** Records the violation that a worker runs tasks that exceed its capacity. */
+  public synchronized void capacityExceeded(String worker, String detail) {
     violations.add("worker " + worker + " holds more than it can: " + detail);
   }
 
-  /** Returns everything recorded so far. */
+  /** Returns a copy of everything recorded so far. */
   public synchronized Report report() {
     List<TaskRun> runs = new ArrayList<>(ended);
     runs.addAll(running.values());
--- a/standin/src/main/java/org/cottontack/standin/ledger/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** What really ran, counted by someone other than the scheduler. */
+/** Record of what actually ran, kept independently of the scheduler. */
 package org.cottontack.standin.ledger;
--- a/standin/src/main/java/org/cottontack/standin/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins of everything outside the product, for tests and trials; never part of a release. */
+/** Stand-ins of all external systems, for tests and trials. They are never part of a release. */
 package org.cottontack.standin;
--- a/standin/src/main/java/org/cottontack/standin/platform/PlatformStandIn.java
+++ b/standin/src/main/java/org/cottontack/standin/platform/PlatformStandIn.java
@@ -16,8 +16,8 @@
 import org.cottontack.core.fleet.MemberInfo;
 
 /**
- * The platform: one table service and one list of instances, reached by each data centre at an
- * address of its own, so that each can be cut off alone.
+ * Stand-in of the platform: one table service and one list of instances. Each data centre uses a
+ * separate address, so that a fault can be limited to one data centre.
  */
 public final class PlatformStandIn implements AutoCloseable {
 
@@ -27,11 +27,11 @@
   private final Map<String, HttpServer> servers;
 
   /**
-   * Starts to listen.
+   * Starts the platform and listens at the given addresses.
    *
-   * @param group event loops
-   * @param addresses one for each data centre
-   * @param members the instances that run work
+   * @param group event loops of the servers
+   * @param addresses address to listen on for each data centre, by its name
+   * @param members the workers and endpoints to list
    */
   public PlatformStandIn(
       EventLoopGroup group, Map<String, Address> addresses, Supplier<List<MemberInfo>> members) {
@@ -44,17 +44,17 @@
                     e -> HttpServer.listen(group, e.getValue(), c -> serve(e.getKey(), c))));
   }
 
-  /** Returns where a data centre reaches it. */
+  /** Returns the address that serves a data centre. */
   public Address address(String dataCentre) {
     return servers.get(dataCentre).address();
   }
 
-  /** Makes it misbehave towards one data centre, until told otherwise. */
-  public void fault(String dataCentre, StoreFault fault) {
+  /** Sets the fault to simulate for one data centre until this method is called again for it. */
+  public void setFault(String dataCentre, StoreFault fault) {
     faults.put(dataCentre, fault);
   }
 
-  /** Returns how many transactions and reads took place, and how many rows there are. */
+  /** Returns the number of committed transactions, of scans and of rows. */
   public Map<String, Long> counts() {
     return rows.counts();
   }
@@ -64,16 +64,16 @@
     switch (call.path()) {
       case "/v1/transactions" -> commit(fault, call);
       case "/v1/rows" -> scan(fault, call);
-      case "/v1/members" -> fault.answer(call, () -> list(call));
+      case "/v1/members" -> fault.respond(call, () -> list(call));
       default -> call.json(404, "{}");
     }
   }
 
   private void list(HttpCall call) {
-    String wanted = call.query("dataCentre").orElse("");
+    String dataCentre = call.query("dataCentre").orElse("");
     List<MemberInfo> listed =
         members.get().stream()
-            .filter(m -> wanted.isEmpty() || m.dataCentre().value().equals(wanted))
+            .filter(m -> dataCentre.isEmpty() || m.dataCentre().value().equals(dataCentre))
             .toList();
     String etag = Integer.toHexString(listed.hashCode());
     if (call.header("if-none-match").filter(etag::equals).isPresent()) {
@@ -87,18 +87,18 @@
   }
 
   private void commit(StoreFault fault, HttpCall call) {
-    if (!fault.acts()) {
-      fault.answer(call, () -> {});
+    if (!fault.appliesRequests()) {
+      fault.respond(call, () -> {});
       return;
     }
     List<StoreMessages.StoredRow> conflicts =
         rows.commit(Json.read(call.text(), StoreMessages.Transaction.class).changes());
     String body = Json.write(new StoreMessages.Rows(conflicts));
-    fault.answer(call, () -> call.json(conflicts.isEmpty() ? 200 : 409, body));
+    fault.respond(call, () -> call.json(conflicts.isEmpty() ? 200 : 409, body));
   }
 
   private void scan(StoreFault fault, HttpCall call) {
-    fault.answer(
+    fault.respond(
         call,
         () ->
             call.json(
--- a/standin/src/main/java/org/cottontack/standin/platform/Rows.java
+++ b/standin/src/main/java/org/cottontack/standin/platform/Rows.java
@@ -9,14 +9,18 @@
 import org.cottontack.adapters.store.StoreMessages.StoredRow;
 import org.cottontack.core.store.Mutation;
 
-/** Rows with versions, changed by transactions that take effect whole or not at all. */
+/** In-memory table of versioned rows, changed by atomic transactions. */
 final class Rows {
 
   private final SortedMap<String, StoredRow> rows = new TreeMap<>();
   private long commits;
   private long scans;
 
-  /** Returns the rows that stand in the way, empty when the changes took effect. */
+  /**
+   * Applies all changes, or none if the version of a row is not the expected one.
+   *
+   * @return the rows with another version; empty if the changes were applied
+   */
   synchronized List<StoredRow> commit(List<Change> changes) {
     List<StoredRow> conflicts = new ArrayList<>();
     for (Change change : changes) {
--- a/standin/src/main/java/org/cottontack/standin/platform/StoreFault.java
+++ b/standin/src/main/java/org/cottontack/standin/platform/StoreFault.java
@@ -4,52 +4,52 @@
 import java.util.stream.Stream;
 import org.cottontack.adapters.http.HttpCall;
 
-/** How the stand-in of the table service misbehaves towards one data centre. */
+/** Faults of the table service that the platform stand-in can simulate for one data centre. */
 public enum StoreFault {
-  /** It answers. */
+  /** No fault: requests take effect and are answered. */
   NONE(true) {
     @Override
-    void answer(HttpCall call, Runnable answer) {
-      answer.run();
+    void respond(HttpCall call, Runnable response) {
+      response.run();
     }
   },
-  /** It does nothing and closes the connection. */
+  /** Requests take no effect, and the connection is closed. */
   DOWN(false) {
     @Override
-    void answer(HttpCall call, Runnable answer) {
+    void respond(HttpCall call, Runnable response) {
       call.drop();
     }
   },
-  /** It does what it is asked and closes the connection without an answer. */
+  /** Requests take effect, but the connection is closed without an answer. */
   LOSES_ANSWERS(true) {
     @Override
-    void answer(HttpCall call, Runnable answer) {
+    void respond(HttpCall call, Runnable response) {
       call.drop();
     }
   },
-  /** It does nothing and never answers. */
+  /** Requests take no effect, and the connection stays open without an answer. */
   SILENT(false) {
     @Override
-    void answer(HttpCall call, Runnable answer) {
-      // the caller waits until its own time limit
+    void respond(HttpCall call, Runnable response) {
+      // The caller waits until its own timeout.
     }
   };
 
-  private final boolean acts;
+  private final boolean appliesRequests;
 
-  StoreFault(boolean acts) {
-    this.acts = acts;
+  StoreFault(boolean appliesRequests) {
+    this.appliesRequests = appliesRequests;
   }
 
-  /** Returns whether requests take effect. */
-  boolean acts() {
-    return acts;
+  /** Returns whether requests take effect despite the fault. */
+  boolean appliesRequests() {
+    return appliesRequests;
   }
 
-  /** Answers a call, or does not. */
-  abstract void answer(HttpCall call, Runnable answer);
+  /** Sends the response to a call, or simulates the fault in its place. */
+  abstract void respond(HttpCall call, Runnable response);
 
-  /** Returns the fault for a word. */
+  /** Returns the fault with the given name in lower case. */
   public static StoreFault forWord(String word) {
     return Stream.of(values())
         .filter(fault -> fault.name().toLowerCase(Locale.ROOT).equals(word))
--- a/standin/src/main/java/org/cottontack/standin/platform/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/platform/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of the platform's table service and list of instances. */
+/** Stand-in of the platform's table service and list of instances, with simulated faults. */
 package org.cottontack.standin.platform;
--- a/standin/src/main/java/org/cottontack/standin/worker/Reconcile.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/Reconcile.java
@@ -8,12 +8,12 @@
 import java.util.stream.StreamSupport;
 import org.cottontack.adapters.json.Json;
 
-/** The work of the stand-in's tasks: compares two files of account lines. */
+/** The work that a task does on the worker stand-in: compares two lists of account lines. */
 final class Reconcile {
 
   private Reconcile() {}
 
-  /** Returns the lines that stand only on one side, as JSON. */
+  /** Returns the lines that occur in only one of the two lists, as JSON. */
   static String differences(String input) {
     JsonNode tree = Json.tree(input);
     TreeSet<String> left = new TreeSet<>(lines(tree.path("left")));
@@ -24,17 +24,17 @@
     return Json.write(result);
   }
 
-  /** Returns how long the work takes, in milliseconds. */
-  static long millis(String input) {
+  /** Returns the duration of the work, in milliseconds. */
+  static long durationMillis(String input) {
     return Json.tree(input).path("millis").asLong(0);
   }
 
-  /** Returns whether the work fails wherever it runs. */
+  /** Returns whether the work fails on every worker. */
   static boolean fails(String input) {
     return Json.tree(input).path("fails").asBoolean();
   }
 
-  /** Returns whether the work may be done only once. */
+  /** Returns whether the work may finish only once. */
   static boolean once(String input) {
     return Json.tree(input).path("once").asBoolean();
   }
--- a/standin/src/main/java/org/cottontack/standin/worker/StandInRun.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/StandInRun.java
@@ -3,25 +3,25 @@
 import org.cottontack.adapters.task.WorkerMessages;
 import org.cottontack.core.task.RunReport;
 
-/** One attempt on the stand-in of a worker; used under the worker's lock only. */
+/** One attempt of a task on the worker stand-in. Access is guarded by the worker's lock. */
 final class StandInRun {
 
   private final WorkerMessages.Start order;
   private final long startedAt;
-  private final long from;
+  private final long initialProgress;
   private RunReport.Status status = RunReport.Status.RUNNING;
-  private long leaseUntil;
-  private long stoppedProgress;
+  private long leaseEndMillis;
+  private long finalProgress;
   private String outcome;
 
   StandInRun(WorkerMessages.Start order, long now) {
     this.order = order;
     this.startedAt = now;
-    this.from = order.checkpoint() == null ? 0 : Long.parseLong(order.checkpoint());
-    this.leaseUntil = now + order.leaseMillis();
+    this.initialProgress = order.checkpoint() == null ? 0 : Long.parseLong(order.checkpoint());
+    this.leaseEndMillis = now + order.leaseMillis();
   }
 
-  boolean is(String task, int attempt) {
+  boolean matches(String task, int attempt) {
     return order.task().value().equals(task) && order.attempt() == attempt;
   }
 
@@ -33,26 +33,26 @@
     return order;
   }
 
-  void renew(long until) {
-    leaseUntil = until;
+  void renew(long endMillis) {
+    leaseEndMillis = endMillis;
   }
 
-  boolean lapsed(long now) {
-    return running() && now >= leaseUntil;
+  boolean leaseExpired(long now) {
+    return running() && now >= leaseEndMillis;
   }
 
   boolean done(long now) {
-    return running() && progress(now) >= Reconcile.millis(order.input());
+    return running() && progress(now) >= Reconcile.durationMillis(order.input());
   }
 
-  void end(RunReport.Status how, String text, long now) {
-    stoppedProgress = progress(now);
-    status = how;
-    outcome = text;
+  void end(RunReport.Status newStatus, String newOutcome, long now) {
+    finalProgress = progress(now);
+    status = newStatus;
+    outcome = newOutcome;
   }
 
   private long progress(long now) {
-    return running() ? from + now - startedAt : stoppedProgress;
+    return running() ? initialProgress + now - startedAt : finalProgress;
   }
 
   WorkerMessages.RunState state(long now) {
--- a/standin/src/main/java/org/cottontack/standin/worker/WorkerFault.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/WorkerFault.java
@@ -3,18 +3,18 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** How the stand-in of a worker misbehaves. */
+/** Faults that the worker stand-in can simulate. */
 public enum WorkerFault {
-  /** It obeys and answers. */
+  /** No fault: orders are carried out and answered. */
   NONE,
-  /** Its network is cut: it hears nothing, but its tasks go on until their leases lapse. */
+  /** The network is cut: no message arrives, but tasks continue until their leases expire. */
   CUT,
-  /** It obeys but its answers are lost. */
+  /** Orders are carried out, but the answers are lost. */
   LOSES_ANSWERS,
-  /** Everything it starts fails. */
+  /** Every task that the worker runs fails. */
   FAILS_ALL;
 
-  /** Returns the fault for a word. */
+  /** Returns the fault with the given name in lower case. */
   public static WorkerFault forWord(String word) {
     return Stream.of(values())
         .filter(fault -> fault.name().toLowerCase(Locale.ROOT).equals(word))
--- a/standin/src/main/java/org/cottontack/standin/worker/WorkerStandIn.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/WorkerStandIn.java
@@ -16,9 +16,9 @@
 import org.cottontack.standin.ledger.Ledger;
 
 /**
- * A worker that runs tasks under leases. It refuses orders for another boot and expired ones, which
- * is all the product relies on; it does not compare attempts, and it takes more than it can hold,
- * which the ledger notes as a violation.
+ * Stand-in of a worker, which runs tasks under leases. It refuses start orders for another boot and
+ * expired ones, because the scheduler relies on these two checks only. It neither compares attempts
+ * nor enforces its capacity; the ledger records an exceeded capacity as a violation.
  */
 public final class WorkerStandIn implements AutoCloseable {
 
@@ -33,7 +33,7 @@
   private String boot = UUID.randomUUID().toString();
   private WorkerFault fault = WorkerFault.NONE;
 
-  /** Starts to listen. */
+  /** Starts the worker and listens at the given address. */
   public WorkerStandIn(
       EventLoopGroup group, Address address, String name, Demand capacity, Ledger ledger) {
     this.name = name;
@@ -43,19 +43,19 @@
     group.next().scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Makes it misbehave, until told otherwise. */
-  public synchronized void fault(WorkerFault value) {
+  /** Sets the fault to simulate until this method is called again. */
+  public synchronized void setFault(WorkerFault value) {
     fault = value;
   }
 
-  /** Restarts it: everything it ran is gone. */
+  /** Simulates a restart: all runs are lost, and the boot identifier changes. */
   public synchronized void restart() {
-    runs.stream().filter(StandInRun::running).forEach(run -> note(run, "restart"));
+    runs.stream().filter(StandInRun::running).forEach(run -> recordEnd(run, "restart"));
     runs.clear();
     boot = UUID.randomUUID().toString();
   }
 
-  /** Returns where it listens. */
+  /** Returns the address that the worker listens on. */
   public Address address() {
     return server.address();
   }
@@ -84,7 +84,8 @@
     long now = clock();
     poll.forget()
         .forEach(
-            f -> runs.removeIf(run -> !run.running() && run.is(f.task().value(), f.attempt())));
+            f ->
+                runs.removeIf(run -> !run.running() && run.matches(f.task().value(), f.attempt())));
     poll.renew()
         .forEach(
             r ->
@@ -95,7 +96,7 @@
   }
 
   private Optional<StandInRun> find(String task, int attempt) {
-    return runs.stream().filter(run -> run.is(task, attempt)).findFirst();
+    return runs.stream().filter(run -> run.matches(task, attempt)).findFirst();
   }
 
   private String start(WorkerMessages.Start order) {
@@ -123,7 +124,7 @@
             .map(r -> r.order().demand())
             .reduce(Demand.NONE, Demand::plus);
     if (!held.fitsIn(capacity)) {
-      ledger.overfull(name, held + " of " + capacity);
+      ledger.capacityExceeded(name, held + " of " + capacity);
     }
   }
 
@@ -137,9 +138,9 @@
   private synchronized void tick() {
     long now = clock();
     for (StandInRun run : List.copyOf(runs)) {
-      if (run.lapsed(now)) {
+      if (run.leaseExpired(now)) {
         end(run, RunReport.Status.STOPPED, "its lease lapsed");
-      } else if (run.running() && failing(run)) {
+      } else if (run.running() && shouldFail(run)) {
         end(run, RunReport.Status.FAILED, "it fails");
       } else if (run.done(now)) {
         end(run, RunReport.Status.FINISHED, Reconcile.differences(run.order().input()));
@@ -147,17 +148,17 @@
     }
   }
 
-  private boolean failing(StandInRun run) {
+  private boolean shouldFail(StandInRun run) {
     return fault == WorkerFault.FAILS_ALL || Reconcile.fails(run.order().input());
   }
 
-  private void end(StandInRun run, RunReport.Status how, String outcome) {
-    run.end(how, outcome, clock());
-    note(run, how.word());
+  private void end(StandInRun run, RunReport.Status status, String outcome) {
+    run.end(status, outcome, clock());
+    recordEnd(run, status.word());
   }
 
-  private void note(StandInRun run, String how) {
-    ledger.taskEnded(run.order().task().value(), run.order().attempt(), how, clock());
+  private void recordEnd(StandInRun run, String status) {
+    ledger.taskEnded(run.order().task().value(), run.order().attempt(), status, clock());
   }
 
   @Override
--- a/standin/src/main/java/org/cottontack/standin/worker/package-info.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of workers. */
+/** Stand-in of a worker, with simulated faults. */
 package org.cottontack.standin.worker;
--- a/standin/src/test/java/org/cottontack/standin/Cluster.java
+++ b/standin/src/test/java/org/cottontack/standin/Cluster.java
@@ -19,26 +19,29 @@
 import org.cottontack.core.peer.Payload;
 import org.cottontack.core.task.Demand;
 
-/** Stand-ins in this process and real entry instance processes around them. */
+/** Stand-ins in this process, used by entry instances that run as separate processes. */
 final class Cluster implements AutoCloseable {
 
   private static final int WAIT_SECONDS = 90;
-  private static final long POLL_NANOS = 50_000_000;
+  private static final long POLL_INTERVAL_NANOS = 50_000_000;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final HttpClient client = new HttpClient(group);
-  private final World world;
+  private final StandIns standIns;
   private final List<EntryProcess> entries = new ArrayList<>();
 
-  /** Starts a cluster whose table has the services check and transfer and the batch row job. */
+  /**
+   * Starts a cluster with the table of {@code table.yaml}: the services check and transfer and the
+   * batch rows job and notice. Returns when all entry instances serve requests.
+   */
   Cluster(List<String> dataCentres, int entriesEach) {
     Demand capacity = new Demand(8_000, 64_000, 1);
-    world = new World(group, new World.Plan(dataCentres, 0, 2, 2, 4, 5, capacity));
+    standIns = new StandIns(group, new StandIns.Plan(dataCentres, 0, 2, 2, 4, 5, capacity));
     dataCentres.forEach(dataCentre -> add(dataCentre, entriesEach));
-    entries.forEach(entry -> until("live", () -> live(entry)));
-    until("a table", () -> edit(entries.get(0), 0, 1_000).is(200));
-    until("ready", () -> entries.stream().allMatch(this::serves));
+    entries.forEach(entry -> waitUntil("entry instance is live", () -> live(entry)));
+    waitUntil("table is accepted", () -> edit(entries.get(0), 0, 1_000).is(200));
+    waitUntil("all entry instances serve requests", () -> entries.stream().allMatch(this::serves));
   }
 
   private boolean live(EntryProcess entry) {
@@ -48,12 +51,12 @@
 
   private void add(String dataCentre, int count) {
     for (int i = 0; i < count; i++) {
-      entries.add(new EntryProcess(dataCentre, world.platform().address(dataCentre)));
+      entries.add(new EntryProcess(dataCentre, standIns.platform().address(dataCentre)));
     }
   }
 
-  World world() {
-    return world;
+  StandIns standIns() {
+    return standIns;
   }
 
   EntryProcess entry(int index) {
@@ -68,14 +71,14 @@
     return request(entry, "check", "", "{\"probe\":1}").is(200);
   }
 
-  /** Waits for something to hold; only the outcome counts, not how long it took. */
-  static void until(String what, BooleanSupplier condition) {
+  /** Waits until a condition holds. No test asserts how long this takes. */
+  static void waitUntil(String description, BooleanSupplier condition) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("did not happen in " + WAIT_SECONDS + " s: " + what);
+        throw new AssertionError("condition not met within " + WAIT_SECONDS + " s: " + description);
       }
-      LockSupport.parkNanos(POLL_NANOS);
+      LockSupport.parkNanos(POLL_INTERVAL_NANOS);
     }
   }
 
@@ -135,7 +138,7 @@
   @Override
   public void close() {
     entries.forEach(EntryProcess::kill);
-    world.close();
+    standIns.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
 }
--- a/standin/src/test/java/org/cottontack/standin/EntryProcess.java
+++ b/standin/src/test/java/org/cottontack/standin/EntryProcess.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 import org.cottontack.adapters.Address;
 
-/** A real entry instance process; stopped, paused and killed by its process id. */
+/** Process of an entry instance, which is stopped, paused and killed by its process id. */
 final class EntryProcess {
 
-  /** Where output is kept: a run that failed is traced from it. */
+  /** Directory of the output of each process, kept to analyse failed test runs. */
   private static final Path LOGS = Path.of("target", "entry-logs");
 
   private final String dataCentre;
@@ -27,7 +27,7 @@
     start();
   }
 
-  /** Starts it, again at the same addresses when it ran before. */
+  /** Starts the process. A restart uses the same addresses as before. */
   void start() {
     try {
       Path settings = Files.createTempFile("entry", ".yaml");
@@ -60,13 +60,13 @@
   }
 
   /**
-   * Fails where the process has ended by itself. Waited for until a deadline, one that could not
-   * start looks like one that is slow, and why it ended is never seen.
+   * Fails if the process has ended by itself. Without this check, a process that could not start
+   * looks like a slow one until the timeout, and the reason why it ended is not reported.
    */
   void checkAlive() {
     if (!alive()) {
       throw new AssertionError(
-          "an entry process ended with code %d, its log is %s"
+          "entry process exited with code %d, log file: %s"
               .formatted(process.exitValue(), log.toAbsolutePath()));
     }
   }
@@ -84,18 +84,18 @@
     return new Address("127.0.0.1", operators);
   }
 
-  /** Sends a signal such as STOP, CONT or KILL. */
+  /** Sends a signal such as STOP, CONT or KILL to the process. */
   void signal(String name) {
     try {
       new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     } catch (IOException e) {
-      throw new IllegalStateException("cannot signal", e);
+      throw new IllegalStateException("cannot send a signal to the entry process", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Asks it to stop gracefully and returns its exit code. */
+  /** Stops the process gracefully and returns its exit code, or -1 after 60 s without an exit. */
   int stop() {
     process.destroy();
     try {
--- a/standin/src/test/java/org/cottontack/standin/EntryProcessTest.java
+++ b/standin/src/test/java/org/cottontack/standin/EntryProcessTest.java
@@ -7,35 +7,36 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Tests of what is said of an entry process that ended by itself. */
+/** Tests the error for an entry process that ended by itself. */
 public class EntryProcessTest {
 
-  /** Processes that end. */
+  /** Processes that end before the test stops them. */
   public static class Ending {
 
-    /** What signal 9 makes a process end with. */
-    private static final String KILLED = "137";
+    /** Exit code of a process that was ended by signal 9. */
+    private static final String EXIT_CODE_KILLED = "137";
 
     private EntryProcess entry;
 
-    /** Ends the process where the test did not. */
+    /** Ends the process if the test did not. */
     @AfterMethod(alwaysRun = true)
     public void end() {
       entry.kill();
     }
 
     /**
-     * A process is killed before it is live; the test that waits for it says so, and where to look.
+     * A process is killed before it is live. The error of the waiting test has the exit code and
+     * the path of the log, so that a process that cannot start is not taken for a slow one.
      */
     @Test
-    public void isToldWithItsCodeAndItsLog() {
+    public void reportsExitCodeAndLogFile() {
       entry = new EntryProcess("dc", new Address("127.0.0.1", FreePorts.next()));
       entry.checkAlive();
       entry.signal("KILL");
-      Cluster.until("it has ended", () -> !entry.alive());
-      AssertionError told = expectThrows(AssertionError.class, entry::checkAlive);
-      assertTrue(told.getMessage().contains(KILLED), told.getMessage());
-      assertTrue(told.getMessage().contains("entry-logs"), told.getMessage());
+      Cluster.waitUntil("entry process has ended", () -> !entry.alive());
+      AssertionError error = expectThrows(AssertionError.class, entry::checkAlive);
+      assertTrue(error.getMessage().contains(EXIT_CODE_KILLED), error.getMessage());
+      assertTrue(error.getMessage().contains("entry-logs"), error.getMessage());
     }
   }
 }
--- a/standin/src/test/java/org/cottontack/standin/FreePortsTest.java
+++ b/standin/src/test/java/org/cottontack/standin/FreePortsTest.java
@@ -9,27 +9,27 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-/** Tests of the ports that processes are given. */
+/** Tests the allocation of ports to processes. */
 public class FreePortsTest {
 
-  /** Ports that one run of the tests hands out, and many more. */
+  /** Far more ports than one run of the tests allocates. */
   private static final int DRAWS = 2_000;
 
-  /** Least port that the system gives to connections by itself. */
+  /** Lowest port that the system assigns to outgoing connections. */
   private static final int FIRST_EPHEMERAL = 32_768;
 
-  /** What is handed out. */
-  public static class Handing {
+  /** Ports returned by {@link FreePorts#next}. */
+  public static class Allocation {
 
     @Test
-    public void givesNoPortTwice() {
+    public void returnsNoPortTwice() {
       List<Integer> ports = IntStream.range(0, DRAWS).map(i -> FreePorts.next()).boxed().toList();
       Set<Integer> distinct = new HashSet<>(ports);
       assertEquals(distinct.size(), DRAWS);
     }
 
     @Test
-    public void givesNoneThatConnectionsMayTake() {
+    public void returnsNoEphemeralPort() {
       assertTrue(IntStream.range(0, 100).allMatch(i -> FreePorts.next() < FIRST_EPHEMERAL));
     }
   }
--- a/standin/src/test/java/org/cottontack/standin/Load.java
+++ b/standin/src/test/java/org/cottontack/standin/Load.java
@@ -9,52 +9,53 @@
 import org.cottontack.adapters.http.HttpResult;
 
 /**
- * Callers that make transfers, each under its own key, one after another. A caller that is refused
- * or left in doubt sends the same transfer again to the next entry instance, as a real one would.
+ * Callers that each send one transfer after another, every transfer with its own idempotency key. A
+ * caller that is refused or left in doubt sends the same transfer again to the next entry instance,
+ * as a real caller does.
  */
 final class Load implements AutoCloseable {
 
-  /** A real caller asks a person after so many answers that leave it in doubt. */
-  private static final int MAX_DOUBTS = 4;
+  /** After this many results in doubt, a real caller asks a person and stops retrying. */
+  private static final int MAX_IN_DOUBT = 4;
 
   private static final int MAX_TRIES = 30;
 
   private final Cluster cluster;
   private final String name;
   private final List<Thread> threads = new ArrayList<>();
-  private final AtomicInteger made = new AtomicInteger();
+  private final AtomicInteger completed = new AtomicInteger();
   private final Map<String, String> outcomes = new TreeMap<>();
-  private volatile boolean going = true;
+  private volatile boolean running = true;
 
-  /** Starts callers whose keys begin with a name that no other load has. */
+  /** Starts the callers. Their keys begin with the name, which no other load may use. */
   Load(Cluster cluster, String name, int callers) {
     this.cluster = cluster;
     this.name = name;
     for (int i = 0; i < callers; i++) {
       int caller = i;
-      Thread thread = new Thread(() -> work(caller), "caller-" + i);
+      Thread thread = new Thread(() -> transferRepeatedly(caller), "caller-" + i);
       thread.setDaemon(true);
       threads.add(thread);
       thread.start();
     }
   }
 
-  private void work(int caller) {
-    for (int number = 0; going; number++) {
+  private void transferRepeatedly(int caller) {
+    for (int number = 0; running; number++) {
       String key = name + "-" + caller + "-" + number;
       String outcome = transfer(caller, key);
       synchronized (outcomes) {
         outcomes.put(key, outcome);
       }
-      made.incrementAndGet();
+      completed.incrementAndGet();
     }
   }
 
   private String transfer(int caller, String key) {
     String outcome = "none";
-    int doubts = 0;
+    int inDoubt = 0;
     List<String> codes = new ArrayList<>();
-    for (int tries = 0; tries < MAX_TRIES && doubts < MAX_DOUBTS; tries++) {
+    for (int tries = 0; tries < MAX_TRIES && inDoubt < MAX_IN_DOUBT; tries++) {
       EntryProcess entry = cluster.entry((caller + tries) % cluster.entries().size());
       HttpResult result = cluster.request(entry, "transfer", key, body(key));
       outcome = outcomeOf(result);
@@ -62,29 +63,29 @@
         return outcome;
       }
       codes.add(result.headers().getOrDefault("cottontack-code", outcome));
-      doubts += "not_run".equals(outcome) ? 0 : 1;
+      inDoubt += "not_run".equals(outcome) ? 0 : 1;
       LockSupport.parkNanos(50_000_000);
     }
     return outcome + " after " + codes;
   }
 
-  /** What never left the caller did not run. */
+  /** Returns the outcome of a call. A request that was not sent counts as not run. */
   private static String outcomeOf(HttpResult result) {
-    String silent = result.outcome() == HttpResult.Outcome.NOT_SENT ? "not_run" : "no answer";
-    return result.headers().getOrDefault("cottontack-ran", silent);
+    String fallback = result.outcome() == HttpResult.Outcome.NOT_SENT ? "not_run" : "no answer";
+    return result.headers().getOrDefault("cottontack-ran", fallback);
   }
 
   static String body(String key) {
     return "{\"transfer\":\"" + key + "\",\"once\":true}";
   }
 
-  int made() {
-    return made.get();
+  int completed() {
+    return completed.get();
   }
 
-  /** Stops the callers and returns what each transfer came to. */
+  /** Stops the callers and returns the outcome of each transfer by its key. */
   Map<String, String> finish() {
-    going = false;
+    running = false;
     for (Thread thread : threads) {
       try {
         thread.join();
@@ -97,6 +98,6 @@
 
   @Override
   public void close() {
-    going = false;
+    running = false;
   }
 }
--- a/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
+++ b/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
@@ -18,12 +18,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Real processes under failure; the verdict is the ledger's count of what ran, never a time. */
+/**
+ * Tests entry instances as real processes under failures. The checks compare what ran according to
+ * the ledger, never times.
+ */
 public final class ProcessesTest {
 
   private ProcessesTest() {}
 
-  /** One data centre, three entry instances. */
+  /** Base class of tests with one data centre and three entry instances. */
   public abstract static class OneDataCentre {
 
     Cluster cluster;
@@ -42,34 +45,35 @@
       }
     }
 
-    void assertNothingBroken() {
-      assertEquals(cluster.world().ledger().report().violations().toString(), "[]");
+    void assertNoViolations() {
+      assertEquals(cluster.standIns().ledger().report().violations().toString(), "[]");
     }
 
-    /** Each transfer that its caller believes to have run ran once; none ran twice. */
-    void assertTransfersHold(Map<String, String> outcomes) {
-      Map<String, Integer> runs = cluster.world().ledger().report().requestRuns();
+    /** Checks that no transfer ran twice and that each one reported as run did run. */
+    void assertTransfersMatchLedger(Map<String, String> outcomes) {
+      Map<String, Integer> runs = cluster.standIns().ledger().report().requestRuns();
       outcomes.forEach(
           (key, outcome) -> {
             int ran = runs.getOrDefault(Load.body(key), 0);
             assertTrue(ran <= 1, key + " ran " + ran + " times");
-            assertTrue(!"ran".equals(outcome) || ran == 1, key + " is said to have run");
+            assertTrue(!"ran".equals(outcome) || ran == 1, key + " was reported as run");
           });
-      assertNothingBroken();
+      assertNoViolations();
     }
 
-    void untilMade(Load load, int more) {
-      int goal = load.made() + more;
-      Cluster.until(more + " more transfers", () -> load.made() >= goal);
+    void waitForTransfers(Load load, int more) {
+      int goal = load.completed() + more;
+      Cluster.waitUntil(more + " more transfers complete", () -> load.completed() >= goal);
     }
   }
 
-  /** Kills and replacements under load. */
+  /** Killed and replaced entry instances under load. */
   public static final class Replacement extends OneDataCentre {
 
     /**
-     * An entry instance is killed while callers make transfers and tasks run. Callers go to another
-     * one; transfers in doubt are not made twice; tasks go on and end.
+     * An entry instance is killed while transfers are sent and tasks run. Callers switch to another
+     * entry instance. Guards against transfers in doubt that run twice, and against tasks that do
+     * not finish because their entry instance was killed.
      */
     @Test
     public void killedUnderLoad() {
@@ -77,100 +81,104 @@
         cluster.submit(cluster.entry(i % 3), "kill-" + i, 2_000);
       }
       try (Load load = new Load(cluster, "kill", 4)) {
-        untilMade(load, 50);
+        waitForTransfers(load, 50);
         cluster.entry(0).signal("KILL");
-        untilMade(load, 50);
+        waitForTransfers(load, 50);
         cluster.entry(0).start();
-        untilMade(load, 100);
-        assertTransfersHold(load.finish());
+        waitForTransfers(load, 100);
+        assertTransfersMatchLedger(load.finish());
       }
-      Cluster.until(
-          "all tasks end",
+      Cluster.waitUntil(
+          "all tasks have finished",
           () ->
               IntStream.range(0, 6)
                   .allMatch(i -> "finished".equals(cluster.phase(cluster.entry(1), "kill-" + i))));
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
-     * Every entry instance is replaced in turn, gracefully, while callers make transfers. Each stop
-     * ends with exit code 0: nothing in flight was cut off, so no transfer is left in doubt by it.
+     * Every entry instance is stopped gracefully and replaced in turn while transfers are sent.
+     * Guards against a stop that interrupts requests in flight: each exit code is 0, and no
+     * transfer is left in doubt.
      */
     @Test(priority = 1)
     public void rollingReplacement() {
       try (Load load = new Load(cluster, "roll", 4)) {
-        untilMade(load, 30);
+        waitForTransfers(load, 30);
         for (EntryProcess entry : cluster.entries()) {
-          assertEquals(entry.stop(), 0, "graceful");
+          assertEquals(entry.stop(), 0, "exit code of a graceful stop");
           entry.start();
-          Cluster.until("it serves again", () -> cluster.serves(entry));
-          untilMade(load, 20);
+          Cluster.waitUntil("replaced entry instance serves requests", () -> cluster.serves(entry));
+          waitForTransfers(load, 20);
         }
         Map<String, String> outcomes = load.finish();
-        assertTransfersHold(outcomes);
+        assertTransfersMatchLedger(outcomes);
         outcomes.values().removeIf("ran"::equals);
         assertEquals(outcomes.toString(), "{}");
       }
     }
   }
 
-  /** Pauses, cuts and outages. */
-  public static final class Trouble extends OneDataCentre {
+  /** Paused processes, network cuts and store outages. */
+  public static final class PausesAndOutages extends OneDataCentre {
 
     /**
-     * An entry instance is stopped by a signal past its lease and goes on later. The others take
-     * its share; when it wakes it must not act on the old one.
+     * An entry instance is paused by a signal until its lease has expired, and continued later.
+     * Meanwhile the others take over its share. Guards against a continued instance that still uses
+     * its old share: it has to join as a new instance.
      */
     @Test
-    public void pausedAcrossItsLease() {
+    public void pausedPastLeaseExpiry() {
       try (Load load = new Load(cluster, "pause", 4)) {
-        untilMade(load, 30);
+        waitForTransfers(load, 30);
         final String before = cluster.status(cluster.entry(0)).path("instance").asText();
         cluster.entry(0).signal("STOP");
-        Cluster.until(
-            "the others share everything",
+        Cluster.waitUntil(
+            "the other two instances share all resources",
             () -> cluster.status(cluster.entry(1)).path("members").size() == 2);
-        untilMade(load, 30);
+        waitForTransfers(load, 30);
         cluster.entry(0).signal("CONT");
-        Cluster.until(
-            "it has joined anew",
+        Cluster.waitUntil(
+            "continued entry instance has joined as a new instance",
             () -> {
               String now = cluster.status(cluster.entry(0)).path("instance").asText();
               return !now.isEmpty() && !now.equals(before);
             });
-        untilMade(load, 30);
-        assertTransfersHold(load.finish());
+        waitForTransfers(load, 30);
+        assertTransfersMatchLedger(load.finish());
       }
     }
 
     /**
-     * The store is away for several leases. Idempotent requests are served all along, transfers are
-     * refused as not run, the running task is not disturbed, and all is as before afterwards.
+     * The store is unreachable for several lease durations. Idempotent requests are still served
+     * and transfers are refused as not run. Guards against a running task that is started again
+     * because of the outage: after it the task finishes, with exactly one run.
      */
     @Test(priority = 2)
     public void storeOutage() {
       cluster.submit(cluster.entry(0), "through-outage", 12_000);
-      Cluster.until(
-          "it runs", () -> "placed".equals(cluster.phase(cluster.entry(0), "through-outage")));
-      cluster.world().platform().fault("dc", StoreFault.DOWN);
-      Cluster.until("refused", () -> isRefused("outage-probe"));
+      Cluster.waitUntil(
+          "task is placed",
+          () -> "placed".equals(cluster.phase(cluster.entry(0), "through-outage")));
+      cluster.standIns().platform().setFault("dc", StoreFault.DOWN);
+      Cluster.waitUntil("transfers are refused", () -> isRefused("outage-probe"));
       for (int i = 0; i < 200; i++) {
-        assertTrue(cluster.serves(cluster.entry(i % 3)), "request " + i + " in the outage");
+        assertTrue(cluster.serves(cluster.entry(i % 3)), "request " + i + " during the outage");
         LockSupport.parkNanos(30_000_000);
       }
       HttpResult refused = cluster.request(cluster.entry(1), "transfer", "o", Load.body("o"));
       assertEquals(refused.headers().get("cottontack-ran"), "not_run");
-      cluster.world().platform().fault("dc", StoreFault.NONE);
-      Cluster.until(
-          "the task ends",
+      cluster.standIns().platform().setFault("dc", StoreFault.NONE);
+      Cluster.waitUntil(
+          "task has finished",
           () -> "finished".equals(cluster.phase(cluster.entry(0), "through-outage")));
       List<Ledger.TaskRun> runs =
-          cluster.world().ledger().report().taskRuns().stream()
+          cluster.standIns().ledger().report().taskRuns().stream()
               .filter(run -> run.task().equals("through-outage"))
               .toList();
       assertEquals(runs.size(), 1, runs.toString());
-      assertFalse(cluster.world().ledger().report().requestRuns().containsKey(Load.body("o")));
-      assertNothingBroken();
+      assertFalse(cluster.standIns().ledger().report().requestRuns().containsKey(Load.body("o")));
+      assertNoViolations();
     }
 
     private boolean isRefused(String key) {
@@ -178,43 +186,48 @@
       return "store_away".equals(result.headers().get("cottontack-code"));
     }
 
-    /** Every answer of the store is lost for a while; nothing is done twice because of it. */
+    /**
+     * All answers of the store are lost for a while, although its transactions take effect. Guards
+     * against transfers and tasks that run twice because of it.
+     */
     @Test(priority = 3)
-    public void lostAnswersOfTheStore() {
+    public void lostStoreResponses() {
       try (Load load = new Load(cluster, "lost", 4)) {
-        untilMade(load, 20);
+        waitForTransfers(load, 20);
         for (int i = 0; i < 5; i++) {
           cluster.submit(cluster.entry(i % 3), "lost-" + i, 500);
-          cluster.world().platform().fault("dc", StoreFault.LOSES_ANSWERS);
+          cluster.standIns().platform().setFault("dc", StoreFault.LOSES_ANSWERS);
           LockSupport.parkNanos(300_000_000);
-          cluster.world().platform().fault("dc", StoreFault.NONE);
-          untilMade(load, 10);
+          cluster.standIns().platform().setFault("dc", StoreFault.NONE);
+          waitForTransfers(load, 10);
         }
-        assertTransfersHold(load.finish());
+        assertTransfersMatchLedger(load.finish());
       }
-      Cluster.until(
-          "tasks end",
+      Cluster.waitUntil(
+          "all tasks have finished",
           () ->
               IntStream.range(0, 5)
                   .allMatch(i -> "finished".equals(cluster.phase(cluster.entry(1), "lost-" + i))));
-      assertNothingBroken();
+      assertNoViolations();
     }
 
     /**
-     * A worker is cut off with tasks on it. Tasks that may repeat run elsewhere, but only after
-     * their leases lapsed there; those that may not end in doubt and never run twice.
+     * A worker that runs tasks is cut off. Idempotent tasks run on another worker, but only after
+     * their leases on the first one have expired. Other tasks never run twice and may end in doubt.
      */
     @Test(priority = 3)
     public void workerCutOff() {
       for (int i = 0; i < 8; i++) {
         cluster.submit(cluster.entry(i % 3), "cut-" + i, i % 2 == 0 ? "job" : "notice", 3_000);
       }
-      Cluster.until("all run", () -> countOf("queued") == 0);
-      cluster.world().workers().get("dc-w0").fault(WorkerFault.CUT);
-      Cluster.until("tasks end", () -> countOf("finished") + countOf("in_doubt") == 8);
-      cluster.world().workers().get("dc-w0").fault(WorkerFault.NONE);
-      assertTrue(countOf("in_doubt") <= 4, "only notices may be in doubt");
-      assertNothingBroken();
+      Cluster.waitUntil("no task is queued", () -> countOf("queued") == 0);
+      cluster.standIns().workers().get("dc-w0").setFault(WorkerFault.CUT);
+      Cluster.waitUntil(
+          "all tasks have finished or are in doubt",
+          () -> countOf("finished") + countOf("in_doubt") == 8);
+      cluster.standIns().workers().get("dc-w0").setFault(WorkerFault.NONE);
+      assertTrue(countOf("in_doubt") <= 4, "only the four notice tasks may be in doubt");
+      assertNoViolations();
     }
 
     private long countOf(String phase) {
@@ -224,7 +237,7 @@
     }
   }
 
-  /** Two data centres. */
+  /** Two data centres with two entry instances each. */
   public static final class TwoDataCentres {
 
     private Cluster cluster;
@@ -244,8 +257,9 @@
     }
 
     /**
-     * Two operators edit the same version through different data centres at once. One is accepted,
-     * the other is told who came first, and the accepted edit is in force everywhere.
+     * Two operators edit the same table version through different data centres at the same time.
+     * Guards against a lost update: one edit is accepted, the other gets a conflict response that
+     * names the first editor, and all entry instances adopt the accepted edit.
      */
     @Test
     public void twoOperatorsAtOnce() {
@@ -255,36 +269,37 @@
               .sorted()
               .collect(Collectors.toList());
       assertEquals(statuses, List.of(200, 409));
-      Cluster.until(
-          "in force everywhere",
+      Cluster.waitUntil(
+          "all entry instances have the accepted table",
           () ->
               cluster.entries().stream()
                   .allMatch(entry -> cluster.status(entry).path("tableVersion").asLong() == 2));
     }
 
     /**
-     * One data centre is cut off from the platform. It serves idempotent requests by its last table
-     * and says how old that is; the other accepts an edit; after the cut it catches up.
+     * One data centre is cut off from the platform. It serves idempotent requests with its last
+     * known table and reports the age of this table, while the other data centre accepts an edit.
+     * Guards against a data centre that stops serving, or keeps the old table after the cut.
      */
     @Test(priority = 5)
     public void dataCentreCutOff() {
-      cluster.world().platform().fault("south", StoreFault.SILENT);
+      cluster.standIns().platform().setFault("south", StoreFault.SILENT);
       assertTrue(cluster.edit(cluster.entry(0), 2, 700).is(200));
-      Cluster.until(
-          "its table grows old",
+      Cluster.waitUntil(
+          "table age of the cut-off data centre exceeds 6 s",
           () -> cluster.status(cluster.entry(2)).path("tableAgeMillis").asLong() > 6_000);
       assertTrue(cluster.serves(cluster.entry(2)));
       assertTrue(cluster.serves(cluster.entry(3)));
       assertEquals(cluster.status(cluster.entry(2)).path("tableVersion").asLong(), 2);
-      cluster.world().platform().fault("south", StoreFault.NONE);
-      Cluster.until(
-          "it catches up",
+      cluster.standIns().platform().setFault("south", StoreFault.NONE);
+      Cluster.waitUntil(
+          "data centre adopts the new table",
           () -> cluster.status(cluster.entry(2)).path("tableVersion").asLong() == 3);
-      assertEquals(cluster.world().ledger().report().violations(), List.of());
+      assertEquals(cluster.standIns().ledger().report().violations(), List.of());
     }
   }
 
-  /** Bad input to a running entry instance: a clear answer each, and it goes on. */
+  /** Invalid input to a running entry instance, which reports the error and continues to serve. */
   public static final class BadInput {
 
     private Cluster cluster;
@@ -303,7 +318,7 @@
       }
     }
 
-    /** Returns method, path, body, status and what the body must name. */
+    /** Returns method, path, body, expected status and text that the response has to contain. */
     @DataProvider(name = "calls")
     public Object[][] calls() {
       return new Object[][] {
@@ -324,17 +339,19 @@
       };
     }
 
-    /** Each bad call gets its answer and the instance goes on serving. */
+    /** Each invalid call gets its error response, and the instance continues to serve. */
     @Test(dataProvider = "calls")
-    public void isAnsweredClearly(
-        String method, String path, String body, int status, String wanted) {
+    public void isRejectedWithReason(
+        String method, String path, String body, int status, String expectedText) {
       HttpResult result = cluster.call(cluster.entry(0).callers(), method, path, Map.of(), body);
       assertEquals(result.status(), status, result.text());
-      assertTrue(result.text().contains(wanted), result.text());
+      assertTrue(result.text().contains(expectedText), result.text());
       assertTrue(cluster.serves(cluster.entry(0)));
     }
 
-    /** A body over the limit is refused; what is no HTTP closes the connection. */
+    /**
+     * A body over the limit is refused, malformed HTTP closes the connection; serving continues.
+     */
     @Test
     public void oversizedAndMalformed() {
       HttpResult result = cluster.request(cluster.entry(0), "check", "", "x".repeat(2 << 20));
@@ -344,46 +361,46 @@
       assertTrue(cluster.serves(cluster.entry(0)));
     }
 
-    /** The same key with another body is refused and does not run. */
+    /** A request with a used idempotency key and another body is refused and does not run. */
     @Test
     public void reusedKey() {
       HttpResult first = cluster.request(cluster.entry(0), "transfer", "same", Load.body("one"));
       HttpResult second = cluster.request(cluster.entry(0), "transfer", "same", Load.body("two"));
       assertTrue(first.is(200));
       assertEquals(second.status(), 422);
-      assertFalse(cluster.world().ledger().report().requestRuns().containsKey(Load.body("two")));
+      assertFalse(cluster.standIns().ledger().report().requestRuns().containsKey(Load.body("two")));
     }
   }
 
-  /** The ledger sees broken promises. */
-  public static final class LedgerSees {
+  /** Tests that the ledger detects violations. */
+  public static final class LedgerDetection {
 
     /**
-     * The safeguard taken out is the one store: two schedulers that share endpoints but not their
-     * records both fill the same slots, and the ledger says so.
+     * Two schedulers share endpoints but not the store. Without this safeguard both use the same
+     * slots, and the ledger has to report it.
      */
     @Test
-    public void twoSchedulersWithoutCommonRecords() {
+    public void twoSchedulersWithoutSharedStore() {
       try (Cluster cluster = new Cluster(List.of("dc"), 1);
           Cluster other = new Cluster(List.of("dc"), 1)) {
-        cluster.world().endpoints().values().forEach(e -> e.serviceMillis(2_000));
-        other.world().adoptMembersOf(cluster.world());
-        Cluster.until(
-            "a violation",
+        cluster.standIns().endpoints().values().forEach(e -> e.setServiceMillis(2_000));
+        other.standIns().replaceMembersWith(cluster.standIns());
+        Cluster.waitUntil(
+            "ledger reports a violation",
             () -> {
               for (Cluster each : List.of(cluster, other)) {
                 IntStream.range(0, 12)
                     .forEach(i -> new Thread(() -> each.serves(each.entry(0))).start());
               }
               LockSupport.parkNanos(200_000_000);
-              return !cluster.world().ledger().report().violations().isEmpty();
+              return !cluster.standIns().ledger().report().violations().isEmpty();
             });
       }
     }
 
-    /** A task in two places at once, and one that runs again after its end. */
+    /** A task that runs on two workers at once and a task that runs again after it finished. */
     @Test
-    public void tasksInTwoPlaces() {
+    public void concurrentAndRepeatedRuns() {
       Ledger ledger = new Ledger();
       ledger.taskStarted("t", 1, "w1", true, 0);
       ledger.taskStarted("t", 2, "w2", true, 1);
--- a/standin/src/test/java/org/cottontack/standin/RawSocket.java
+++ b/standin/src/test/java/org/cottontack/standin/RawSocket.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 import org.cottontack.adapters.Address;
 
-/** Sends bytes that no HTTP client would. */
+/** Sends malformed requests that an HTTP client would not send. */
 final class RawSocket {
 
   private static final int TIMEOUT_MILLIS = 5_000;
 
   private RawSocket() {}
 
-  /** Sends text and waits until the server answers or closes. */
+  /** Sends text and waits until the server answers or closes the connection. */
   static void send(Address address, String text) {
     try (Socket socket = new Socket(address.host(), address.port())) {
       socket.setSoTimeout(TIMEOUT_MILLIS);
@@ -20,7 +20,7 @@
       socket.getOutputStream().flush();
       socket.getInputStream().read();
     } catch (IOException e) {
-      throw new IllegalStateException("the server neither answered nor closed", e);
+      throw new IllegalStateException("the server neither answered nor closed the connection", e);
     }
   }
 }
--- a/standin/src/test/java/org/cottontack/standin/TestFile.java
+++ b/standin/src/test/java/org/cottontack/standin/TestFile.java
@@ -4,7 +4,7 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Reads files that tests keep as data. */
+/** Reads test data from the class path. */
 final class TestFile {
 
   private TestFile() {}
