--- a/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
+++ b/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
@@ -376,8 +376,8 @@
   public static final class LedgerDetection {
 
     /**
-     * Two schedulers share endpoints but not the store. Without this safeguard both use the same
-     * slots, and the ledger has to report it.
+     * The shared store is left out as a safeguard: two schedulers share endpoints but use separate
+     * stores. Both then fill the same slots, and the ledger has to report it.
      */
     @Test
     public void twoSchedulersWithoutSharedStore() {
