--- a/daemon/src/main/java/org/cottontack/daemon/http/OperatorRoutes.java
+++ b/daemon/src/main/java/org/cottontack/daemon/http/OperatorRoutes.java
@@ -57,9 +57,9 @@
   public record EditResult(String verdict, long version, List<String> messages) {}
 
   /**
-   * The response to a time line query.
+   * The response to a timeline query.
    *
-   * @param dropped number of events dropped by this instance because the time line was full
+   * @param dropped number of events dropped by this instance because the timeline was full
    * @param entries matching events
    */
   public record TimelinePart(long dropped, List<Timeline.Entry> entries) {}
--- a/daemon/src/main/java/org/cottontack/daemon/job/CommitResult.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/CommitResult.java
@@ -9,8 +9,8 @@
  * @param outcome how the transaction ended
  * @param version the version of the written rows, if it was done
  * @param current the current state of the expected rows, after a conflict
- * @param storeMillis the store's monotonic clock at the time of its answer, in milliseconds; 0 when
- *     unknown
+ * @param storeMillis the store's monotonic clock at the time of its response, in milliseconds; 0
+ *     when unknown
  */
 public record CommitResult(Outcome outcome, long version, List<Row> current, long storeMillis) {
 
@@ -23,7 +23,7 @@
     /** The transaction was refused; nothing was written. */
     REFUSED,
     /**
-     * There was no answer: the transaction may have been carried out, or may still be carried out
+     * There was no response: the transaction may have been carried out, or may still be carried out
      * seconds later.
      */
     UNKNOWN
--- a/daemon/src/main/java/org/cottontack/daemon/job/FreshnessLimit.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/FreshnessLimit.java
@@ -1,8 +1,8 @@
 package org.cottontack.daemon.job;
 
 /**
- * Kinds of updates that may forbid to start work, and how old they may be, counted from when they
- * were requested.
+ * Kinds of updates that may forbid starts, with the maximum age at which each may still be relied
+ * on. The age counts from when the update was requested.
  */
 enum FreshnessLimit {
 
@@ -16,7 +16,7 @@
   WORKERS(1_700, 2_000);
 
   /**
-   * Tolerance for differences between clocks and for the clock time in a worker's answer, in
+   * Tolerance for differences between clocks and for the clock time in a worker's response, in
    * milliseconds.
    */
   private static final long CLOCK_TOLERANCE_MILLIS = 100;
--- a/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Intake.java
@@ -45,8 +45,7 @@
   private static final long PROBE_AFTER_MILLIS = 250;
 
   /**
-   * Delay before a transaction that was refused or whose answer is unknown is sent again, in
-   * milliseconds.
+   * Delay before a transaction that was refused or has no response is sent again, in milliseconds.
    */
   private static final long RETRY_DELAY_MILLIS = 60;
 
@@ -104,7 +103,7 @@
     long deadlineMillis = deadlineMillis(timeoutMillis);
     ifStoreAvailable(
         () ->
-            new Attempt(
+            new RetriedTransaction(
                     transaction,
                     deadlineMillis,
                     answer -> logged.accept(submissionAnswer(job.id(), answer)),
@@ -117,12 +116,12 @@
    * Returns the answer to a submission. A conflict in which the job's row exists means that another
    * attempt of this submission wrote the row.
    */
-  private static Answer submissionAnswer(JobId id, CommitResult answer) {
-    if (answer.outcome() == CommitResult.Outcome.DONE
-        || answer.current(JobTables.job(id)).isPresent()) {
+  private static Answer submissionAnswer(JobId id, CommitResult result) {
+    if (result.outcome() == CommitResult.Outcome.DONE
+        || result.current(JobTables.job(id)).isPresent()) {
       return Answer.STORED;
     }
-    return answer.current(JobTables.cancel(id)).isPresent() ? Answer.CANCELLED : Answer.UNKNOWN;
+    return result.current(JobTables.cancel(id)).isPresent() ? Answer.CANCELLED : Answer.UNKNOWN;
   }
 
   /**
@@ -177,9 +176,9 @@
   private void cancelAtVersion(
       JobId id, long jobVersion, long deadlineMillis, Consumer<Answer> done) {
     Consumer<CommitResult> onResolved =
-        answer -> {
-          long version = versionOf(answer.current(JobTables.job(id)));
-          if (answer.outcome() == CommitResult.Outcome.DONE) {
+        result -> {
+          long version = versionOf(result.current(JobTables.job(id)));
+          if (result.outcome() == CommitResult.Outcome.DONE) {
             done.accept(Cancellation.forJobVersion(jobVersion).answer());
           } else if (version == jobVersion) {
             done.accept(Answer.UNKNOWN);
@@ -188,7 +187,9 @@
             cancelAtVersion(id, version, deadlineMillis, done);
           }
         };
-    new Attempt(Cancellation.transaction(id, jobVersion), deadlineMillis, onResolved, done).start();
+    new RetriedTransaction(
+            Cancellation.transaction(id, jobVersion), deadlineMillis, onResolved, done)
+        .start();
   }
 
   /**
@@ -240,7 +241,7 @@
   /**
    * A job's state as read from the store.
    *
-   * @param known false when the store did not answer or its answer is unreadable
+   * @param known false when the store did not answer or its response is unreadable
    * @param phase the phase, or empty when there is no such job
    */
   public record State(boolean known, Optional<JobPhase> phase) {}
@@ -291,11 +292,11 @@
 
   /**
    * One transaction, sent until it has a definite result, the caller's timeout has passed, or the
-   * store is unavailable. A late attempt is not abandoned when the next one is sent; its answer
-   * still counts. In a slow store, each attempt takes its turn in the partition's queue, so
-   * attempts that are sent too early delay the transactions of other callers.
+   * store is unavailable. A late attempt is not abandoned when the next one is sent; its response
+   * still counts. In a slow store, each attempt waits in the partition's queue, so attempts that
+   * are sent too early delay the transactions of other callers.
    */
-  private final class Attempt {
+  private final class RetriedTransaction {
 
     private final Transaction transaction;
     private final long deadlineMillis;
@@ -311,13 +312,13 @@
     private boolean finished;
 
     /**
-     * Creates an attempt; nothing is sent before {@link #start}.
+     * Creates the transaction; nothing is sent before {@link #start}.
      *
      * @param deadlineMillis when the caller stops waiting, on this process's monotonic clock
      * @param onResolved receives a definite result: done, or a conflict
      * @param done receives the answer when there is no definite result
      */
-    Attempt(
+    RetriedTransaction(
         Transaction transaction,
         long deadlineMillis,
         Consumer<CommitResult> onResolved,
@@ -364,10 +365,10 @@
       timers.after(CHECK_INTERVAL_MILLIS, this::checkProgress);
     }
 
-    private void handleResult(CommitResult answer) {
+    private void handleResult(CommitResult result) {
       inFlight--;
-      switch (answer.outcome()) {
-        case DONE, CONFLICT -> finish(() -> onResolved.accept(answer));
+      switch (result.outcome()) {
+        case DONE, CONFLICT -> finish(() -> onResolved.accept(result));
         case UNKNOWN -> {
           inDoubt = true;
           scheduleResend();
@@ -376,7 +377,7 @@
           refusals++;
           scheduleResend();
         }
-        default -> throw new IllegalStateException("no such outcome: " + answer.outcome());
+        default -> throw new IllegalStateException("no such outcome: " + result.outcome());
       }
     }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leader.java
@@ -31,9 +31,9 @@
   private static final Logger LOG = LogManager.getLogger(Leader.class);
 
   /**
-   * Longest wait for an update that may forbid to start work, in milliseconds. An update is up to
-   * one wait old when it arrives and up to two waits old when the next one arrives; with a store
-   * that is 60 times slower, each of these ages grows by 240 ms.
+   * Longest wait for an update that may forbid starts, in milliseconds. An update is up to one wait
+   * old when it arrives and up to two waits old when the next one arrives; with a store that is 60
+   * times slower, each of these ages grows by 240 ms.
    */
   private static final long MAX_UPDATE_WAIT_MILLIS = 500;
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Leadership.java
@@ -96,7 +96,7 @@
 
     /**
      * Returns whether an instance in the given data centre may lead in place of this one. A leader
-     * that has not begun has no more information about this than an election has, and returns true.
+     * that has not begun has polled no worker, so it cannot rule this out, and returns true.
      */
     boolean mayYieldLeadershipTo(String dataCentre);
   }
@@ -177,11 +177,12 @@
       return;
     }
     handover.observed(timers.now().mono(), rows);
-    Row held = rows.get(LEASE);
-    if (held != null) {
-      lease.observed(timers.now().mono(), held.version());
+    Row knownLease = rows.get(LEASE);
+    if (knownLease != null) {
+      lease.observed(timers.now().mono(), knownLease.version());
     }
-    Optional<LeaseText> text = Optional.ofNullable(held).map(row -> LeaseText.parse(row.text()));
+    Optional<LeaseText> text =
+        Optional.ofNullable(knownLease).map(row -> LeaseText.parse(row.text()));
     boolean leaseFree =
         text.isEmpty() || text.get().isFree() || heldByOwnPreviousIncarnation(text.get().holder());
     if (leaseFree || lease.expired()) {
@@ -190,8 +191,8 @@
       long wait = (leaseFree ? spread / 10 : spread) + (cutOff ? HEAD_START_MILLIS : 0);
       Row election = rows.get(ELECTION);
       long delay =
-          wait + (election == null ? 0 : handover.standBackMillis(rows, epochOf(election)));
-      timers.after(delay, () -> campaign(held == null ? 0 : held.version()));
+          wait + (election == null ? 0 : handover.takeoverDelayMillis(rows, epochOf(election)));
+      timers.after(delay, () -> campaign(knownLease == null ? 0 : knownLease.version()));
     } else {
       requestLeadership();
       watch();
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeadershipHandover.java
@@ -93,11 +93,11 @@
   }
 
   /**
-   * Returns how long this instance waits before it takes a free leadership, in milliseconds, so
-   * that a larger instance can take it first: the last leader, or one whose request that leader did
-   * not answer.
+   * Returns how long this instance waits before it takes over a free lease, in milliseconds, so
+   * that a larger instance can take over first: the last leader, or an instance whose request that
+   * leader did not answer.
    */
-  long standBackMillis(Map<RowKey, Row> rows, long epoch) {
+  long takeoverDelayMillis(Map<RowKey, Row> rows, long epoch) {
     Optional<Capacity> requested =
         request(rows).filter(request -> request.epoch() == epoch).map(Request::capacity);
     return Stream.of(capacity(rows.get(CAPACITY)), requested)
@@ -121,10 +121,10 @@
    */
   Optional<Transaction> requestLeadership(
       long nowMillis, Map<RowKey, Row> rows, Row election, long epoch) {
-    Row held = rows.get(CAPACITY);
+    Row capacityRow = rows.get(CAPACITY);
     // A leader of another version has not written this row and does not notice requests.
-    boolean supportsRequests = held != null && held.version() == election.version();
-    if (!supportsRequests || !mayRequest(nowMillis, epoch, held)) {
+    boolean supportsRequests = capacityRow != null && capacityRow.version() == election.version();
+    if (!supportsRequests || !mayRequest(nowMillis, epoch, capacityRow)) {
       return Optional.empty();
     }
     candidacy.requesting(nowMillis, epoch);
@@ -136,8 +136,8 @@
             List.of()));
   }
 
-  private boolean mayRequest(long nowMillis, long epoch, Row held) {
-    return capacity(held)
+  private boolean mayRequest(long nowMillis, long epoch, Row capacityRow) {
+    return capacity(capacityRow)
         .filter(leader -> candidacy.mayRequest(nowMillis, epoch, leader))
         .isPresent();
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/LeaseRow.java
@@ -57,9 +57,10 @@
   }
 
   /**
-   * Returns the monotonic time at which all leases of the holder's workers have ended. It counts
-   * from when the row was written if the store's clock is known, and at the latest from when this
-   * instance first saw the row. A process that began after the holder's death saw the row late.
+   * Returns the monotonic time at which all worker leases granted by the holder have ended. They
+   * count from when the row was written, by the store's clock, if that time is known; otherwise,
+   * and at the latest, they count from when this instance first saw the row. A process that began
+   * after the holder's death saw the row late.
    */
   private long leaseEndMillis(LeaseText text, long changedMillis) {
     long endByObservation = changedMillis + text.grantMillis();
@@ -89,7 +90,7 @@
    * its short term counted like any other, a leader that yields at once would restart the wait for
    * lost workers.
    *
-   * @param cutOff the data centre whose instances are to stand back; empty for none
+   * @param cutOff the data centre whose instances wait longer before a takeover; empty for none
    * @param now when it is sent
    * @param begun whether this leader has granted leases to workers
    */
--- a/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/ProgressStore.java
@@ -26,7 +26,7 @@
    * The progress that a new leader reads.
    *
    * @param jobs stored progress of each job that has any
-   * @param learned what earlier leaders have learned; empty when there is nothing
+   * @param learned content of the {@link JobTables#LEARNED} row; empty when there is none
    */
   record Found(Map<JobId, String> jobs, String learned) {}
 
@@ -80,13 +80,14 @@
    * conflict.
    */
   private void claim(List<Row> rows, Consumer<Found> done) {
-    Optional<Row> held = rows.stream().filter(row -> row.at().equals(JobTables.FENCE)).findFirst();
-    if (held.map(ProgressStore::epochOf).orElse(0L) > epoch) {
+    Optional<Row> fenceRow =
+        rows.stream().filter(row -> row.at().equals(JobTables.FENCE)).findFirst();
+    if (fenceRow.map(ProgressStore::epochOf).orElse(0L) > epoch) {
       onDeposed.accept("a newer leader has taken over");
       return;
     }
     store.commit(
-        Transaction.write(JobTables.FENCE, held.map(Row::version).orElse(0L), fence()),
+        Transaction.write(JobTables.FENCE, fenceRow.map(Row::version).orElse(0L), fence()),
         MAX_TIMEOUT_MILLIS,
         result -> {
           if (result.outcome() == CommitResult.Outcome.DONE) {
--- a/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/Retention.java
@@ -149,22 +149,22 @@
     store.commit(
         new Transaction(versions, Map.of(), List.copyOf(versions.keySet())),
         COMMIT_TIMEOUT_MILLIS,
-        answer -> {
-          if (answer.outcome() == CommitResult.Outcome.DONE) {
+        result -> {
+          if (result.outcome() == CommitResult.Outcome.DONE) {
             log("cancels.removed", rows.stream().map(Row::key).toList());
           } else {
             rows.stream()
                 .filter(
                     row ->
-                        answer.outcome() != CommitResult.Outcome.CONFLICT
-                            || isUnchanged(row, answer))
+                        result.outcome() != CommitResult.Outcome.CONFLICT
+                            || isUnchanged(row, result))
                 .forEach(row -> rowsToRemove.putIfAbsent(row.at(), row));
           }
         });
   }
 
-  private static boolean isUnchanged(Row row, CommitResult answer) {
-    return answer.current(row.at()).stream().anyMatch(now -> now.version() == row.version());
+  private static boolean isUnchanged(Row row, CommitResult result) {
+    return result.current(row.at()).stream().anyMatch(now -> now.version() == row.version());
   }
 
   /**
@@ -186,8 +186,8 @@
     store.commit(
         new Transaction(Map.of(), Map.of(), rows),
         COMMIT_TIMEOUT_MILLIS,
-        answer -> {
-          if (answer.outcome() == CommitResult.Outcome.DONE) {
+        result -> {
+          if (result.outcome() == CommitResult.Outcome.DONE) {
             onRemoved.run();
           } else {
             // Removing a row twice has no effect, so both transactions of the job are retried.
--- a/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/RuleSource.java
@@ -22,8 +22,8 @@
   long lastContactMillis();
 
   /**
-   * Returns when the request was sent that the source answered last: everything that the operator
-   * had requested by then has been reported.
+   * Returns when the last answered request was sent: everything that the operator had requested by
+   * then has been reported.
    */
   Moment lastRequestSent();
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/StartGate.java
@@ -17,7 +17,7 @@
   /**
    * Creates a gate.
    *
-   * @param requestTimes when the request was sent that returned the last update of each kind
+   * @param requestTimes when the last answered request for each kind of update was sent
    */
   StartGate(Timers timers, Map<FreshnessLimit, Supplier<Moment>> requestTimes) {
     this.timers = timers;
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableStore.java
@@ -5,12 +5,12 @@
 
 /**
  * The platform's transactional table service. Calls return at once; each consumer receives exactly
- * one answer, on the process's event loop.
+ * one result, on the process's event loop.
  */
 public interface TableStore {
 
   /**
-   * Commits a transaction; the result is {@code UNKNOWN} if no answer arrives within the timeout.
+   * Commits a transaction; the result is {@code UNKNOWN} if no response arrives within the timeout.
    */
   void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done);
 
@@ -26,12 +26,12 @@
    * @param answered false when the store did not answer
    * @param rows the rows, ordered by key
    * @param version the latest version of the store when the rows were read
-   * @param storeMillis the store's monotonic clock at the time of its answer, in milliseconds; 0
+   * @param storeMillis the store's monotonic clock at the time of its response, in milliseconds; 0
    *     when unknown
    */
   record Scan(boolean answered, List<Row> rows, long version, long storeMillis) {
 
-    /** No answer. */
+    /** No response. */
     public static final Scan FAILED = new Scan(false, List.of(), 0, 0);
 
     /** Copies the list so that the record is immutable. */
@@ -55,7 +55,7 @@
       CURRENT,
       /** The store no longer has the changes after that version: the table must be read again. */
       FORGOTTEN,
-      /** No answer. */
+      /** No response. */
       FAILED
     }
 
--- a/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/TableWatcher.java
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Receives changes in batches. Hundreds of workers write their entries each second, and a store
-   * that is asked again at once would send a response for each entry.
+   * Receives changes in batches. Hundreds of workers write their entries each second; if the next
+   * request followed each response at once, the store would send a response for each entry.
    *
    * @param millis minimum time from a response with changes to the next request, in milliseconds
    * @return this
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Returns when the request was sent that the store answered last: every change that was stored by
-   * then has been delivered.
+   * Returns when the last answered request was sent: every change that was stored by then has been
+   * delivered.
    */
   public Moment lastRequestSent() {
     return lastRequestSent;
@@ -195,7 +195,10 @@
     }
   }
 
-  /** Returns whether a response to a request sent then is older than the wait explains. */
+  /**
+   * Returns whether a response is older than its wait explains: its request was sent more than two
+   * waits ago.
+   */
   private boolean isStale(Moment sent) {
     return timers.now().longestSince(sent) > 2 * waitMillis;
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WaitingRows.java
@@ -77,9 +77,9 @@
     store.commit(
         new Transaction(Map.of(), Map.of(), batch),
         COMMIT_TIMEOUT_MILLIS,
-        answer -> {
+        result -> {
           partitionsInFlight.remove(part);
-          retryUnlessRemoved(batch, answer);
+          retryUnlessRemoved(batch, result);
         });
   }
 
@@ -87,8 +87,8 @@
    * Schedules rows for another attempt unless they were removed. A row that was left behind would
    * count its job as waiting indefinitely.
    */
-  private void retryUnlessRemoved(List<RowKey> rows, CommitResult answer) {
-    if (answer.outcome() != CommitResult.Outcome.DONE) {
+  private void retryUnlessRemoved(List<RowKey> rows, CommitResult result) {
+    if (result.outcome() != CommitResult.Outcome.DONE) {
       rows.forEach(this::add);
     }
   }
--- a/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WatchedStore.java
@@ -10,7 +10,7 @@
 
 /**
  * Wraps the platform's store and tracks, over all calls of this instance, whether the store answers
- * and how long its answers take. Callers use this to reject a request at once when it cannot be
+ * and how long its responses take. Callers use this to reject a request at once when it cannot be
  * stored, and to repeat a call to a slow store only after a timeout that fits its recent latency.
  * Confined to the event loop.
  */
@@ -19,9 +19,10 @@
   private static final Logger LOG = LogManager.getLogger(WatchedStore.class);
 
   /**
-   * Time without any answer, while at least one is due, after which the store counts as
-   * unavailable, in milliseconds. In a store that is 60 times slower than usual, reads take 250 ms
-   * and transactions 500 ms. Callers wait 3 s, so they still have time to try another instance.
+   * Time without any response, while at least one is due, after which the store counts as
+   * unavailable, in milliseconds; refusals do not count as responses. In a store that is 60 times
+   * slower than usual, reads take 250 ms and transactions 500 ms. Callers wait 3 s, so they still
+   * have time to try another instance.
    */
   static final long SILENCE_LIMIT_MILLIS = 700;
 
@@ -40,12 +41,12 @@
   /** Half-life of the recorded peak latency, in milliseconds. */
   private static final double LATENCY_HALF_LIFE_MILLIS = 2_000;
 
-  /** Interval between checks for overdue answers, in milliseconds. */
+  /** Interval between checks for overdue responses, in milliseconds. */
   private static final long CHECK_INTERVAL_MILLIS = 100;
 
   /**
    * Longest part of the time between two checks that counts as silence, in milliseconds. A process
-   * that was paused, or that gets little processor time at startup, has answers that it has not
+   * that was paused, or that gets little processor time at startup, has responses that it has not
    * read yet. If the whole pause counted, callers would be rejected for seconds although the store
    * had answered.
    */
@@ -56,7 +57,7 @@
   private final TableStore store;
   private final Timers timers;
   private final Set<Call> openCalls = new LinkedHashSet<>();
-  private long lastAnswerMillis;
+  private long lastResponseMillis;
   private long earliestMissedMillis = NEVER;
   private double peakLatencyMillis;
   private long peakLatencyAtMillis;
@@ -68,8 +69,8 @@
   public WatchedStore(TableStore store, Timers timers) {
     this.store = store;
     this.timers = timers;
-    this.lastAnswerMillis = timers.now().mono();
-    this.lastCheckMillis = lastAnswerMillis;
+    this.lastResponseMillis = timers.now().mono();
+    this.lastCheckMillis = lastResponseMillis;
     timers.after(CHECK_INTERVAL_MILLIS, this::checkSilence);
   }
 
@@ -78,7 +79,7 @@
     long earliestDueMillis =
         openCalls.stream().mapToLong(call -> call.dueMillis).min().orElse(NEVER);
     long silentSinceMillis =
-        Math.max(Math.min(earliestDueMillis, earliestMissedMillis), lastAnswerMillis);
+        Math.max(Math.min(earliestDueMillis, earliestMissedMillis), lastResponseMillis);
     long elapsedMillis =
         Math.min(now - Math.max(lastCheckMillis, silentSinceMillis), MAX_CHECK_GAP_MILLIS);
     silentMillis = silentSinceMillis < now ? silentMillis + elapsedMillis : 0;
@@ -95,11 +96,11 @@
     LOG.info(
         new StringMapMessage()
             .with("event", next ? "store.away" : "store.back")
-            .with("silentMillis", timers.now().mono() - lastAnswerMillis)
+            .with("silentMillis", timers.now().mono() - lastResponseMillis)
             .with("open", openCalls.size()));
   }
 
-  /** A call in flight, with the time at which its answer is due. */
+  /** A call in flight, with the time at which its response is due. */
   private final class Call {
     private final long dueMillis;
 
@@ -111,16 +112,16 @@
     void completed(boolean answered) {
       openCalls.remove(this);
       if (answered) {
-        recordAnswer(timers.now().mono());
+        recordResponse(timers.now().mono());
       } else {
         earliestMissedMillis = Math.min(earliestMissedMillis, dueMillis);
       }
     }
 
-    private void recordAnswer(long nowMillis) {
+    private void recordResponse(long nowMillis) {
       peakLatencyMillis = Math.max(decayedPeakLatency(nowMillis), (double) (nowMillis - dueMillis));
       peakLatencyAtMillis = nowMillis;
-      lastAnswerMillis = nowMillis;
+      lastResponseMillis = nowMillis;
       earliestMissedMillis = NEVER;
       silentMillis = 0;
       setUnavailable(false);
@@ -134,9 +135,9 @@
 
   private <T> Consumer<T> tracked(long waitMillis, Predicate<T> answered, Consumer<T> done) {
     Call call = new Call(waitMillis);
-    return answer -> {
-      call.completed(answered.test(answer));
-      done.accept(answer);
+    return response -> {
+      call.completed(answered.test(response));
+      done.accept(response);
     };
   }
 
@@ -167,10 +168,10 @@
 
   /** Returns whether the store has answered any call after a given time. */
   boolean answeredSince(long millis) {
-    return lastAnswerMillis > millis;
+    return lastResponseMillis > millis;
   }
 
-  /** Returns how long to wait for an answer before a call is repeated, in milliseconds. */
+  /** Returns how long to wait for a response before a call is repeated, in milliseconds. */
   long retryTimeoutMillis() {
     double timeout = RETRY_TIMEOUT_FACTOR * decayedPeakLatency(timers.now().mono());
     return (long) Math.max(MIN_RETRY_TIMEOUT_MILLIS, Math.min(MAX_RETRY_TIMEOUT_MILLIS, timeout));
--- a/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
+++ b/daemon/src/main/java/org/cottontack/daemon/job/WorkerRegistry.java
@@ -8,7 +8,7 @@
 
   /**
    * Minimum time between two requests for changes of the list, in milliseconds. This delay is
-   * acceptable because an update that a worker leaves may be seconds old.
+   * acceptable because the announcement that a worker leaves may be seconds old when a task starts.
    */
   long BATCH_MILLIS = 100;
 
--- a/daemon/src/main/java/org/cottontack/daemon/settings/SettingKey.java
+++ b/daemon/src/main/java/org/cottontack/daemon/settings/SettingKey.java
@@ -35,11 +35,11 @@
   TASK_LEASE(SettingRule.number("tasks.leaseMillis", "30000", 1_000, 86_400_000, "milliseconds")),
   /** Minimum interval between two transactions. */
   BATCH_GAP(SettingRule.number("store.batchGapMillis", "25", 0, 10_000, "milliseconds")),
-  /** Maximum number of requests held. */
+  /** Maximum number of open requests; further requests are refused. */
   MAX_QUEUED(SettingRule.number("limits.maxQueued", "4000", 1, 1_000_000, "requests")),
   /** Maximum duration of a graceful stop. */
   DRAIN(SettingRule.number("limits.drainMillis", "20000", 0, 3_600_000, "milliseconds")),
-  /** Number of time line entries kept in memory. */
+  /** Number of timeline entries kept in memory. */
   TIMELINE(SettingRule.number("limits.timelineEntries", "20000", 100, 1_000_000, "entries"));
 
   private final SettingRule rule;
--- a/daemon/src/main/java/org/cottontack/daemon/timeline/Timeline.java
+++ b/daemon/src/main/java/org/cottontack/daemon/timeline/Timeline.java
@@ -12,7 +12,7 @@
   private final Deque<Entry> entries = new ArrayDeque<>();
   private long dropped;
 
-  /** Creates a time line that keeps at most the given number of entries. */
+  /** Creates a timeline that keeps at most the given number of entries. */
   public Timeline(int capacity) {
     this.capacity = capacity;
   }
@@ -37,7 +37,7 @@
       String subject,
       String detail) {}
 
-  /** Adds an event; if the time line is full, the oldest event is dropped. */
+  /** Adds an event; if the timeline is full, the oldest event is dropped. */
   public synchronized void add(Entry entry) {
     if (entries.size() >= capacity) {
       entries.removeFirst();
@@ -51,7 +51,7 @@
     return entries.stream().filter(wanted).toList();
   }
 
-  /** Returns how many events were dropped because the time line was full. */
+  /** Returns how many events were dropped because the timeline was full. */
   public synchronized long dropped() {
     return dropped;
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/CancelledJobsTest.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Guards against a leader that reads a cancellation before its job and forgets it among
-     * cancellations of 20,000 ended jobs.
+     * Guards against a leader that reads a cancellation before its job and drops it because there
+     * are cancellations of 20,000 ended jobs.
      */
     @Test
     public void startsNoTasksOfJobsReadAfterTheirCancellation() {
@@ -160,8 +160,8 @@
     }
 
     /**
-     * Guards against a leader that forgets cancellations that were stored before their jobs,
-     * because there are many later cancellations of unknown jobs.
+     * Guards against a leader that drops cancellations that were stored before their jobs, because
+     * there are many later cancellations of unknown jobs.
      */
     @Test
     public void keepsCancellationsAmongManyWithoutJobs() {
@@ -186,15 +186,15 @@
     @Test
     public void runsJobsWhoseCancellationWasRemoved() {
       LeaderSimulation simulation = new LeaderSimulation();
-      simulation.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), answer -> {});
-      simulation.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), answer -> {});
+      simulation.entry.intake().cancel(new JobId("a"), OptionalLong.empty(), result -> {});
+      simulation.entry.intake().cancel(new JobId("b"), OptionalLong.empty(), result -> {});
       simulation.time.run(1_000);
       Transaction removal =
           new Transaction(Map.of(), Map.of(), List.of(JobTables.cancel(new JobId("a"))));
       simulation
           .store
           .seenBy(simulation.process, call -> true)
-          .commit(removal, 1_000, answer -> {});
+          .commit(removal, 1_000, result -> {});
       simulation.time.run(500);
       simulation.submit("a");
       simulation.time.run(500);
@@ -302,18 +302,18 @@
 
       Scenario(int seed) {
         random = new Random(seed);
-        simulation.store.commitBehaviour = this::fate;
+        simulation.store.commitBehaviour = this::chooseBehaviour;
         IntStream.range(0, JOBS).mapToObj(i -> "job" + i).forEach(this::plan);
       }
 
-      private FakeTableStore.CommitBehaviour fate(Transaction change) {
+      private FakeTableStore.CommitBehaviour chooseBehaviour(Transaction change) {
         simulation.store.lateMillis = 50L + random.nextInt(10_000);
         boolean leading =
             change.writes().keySet().stream().anyMatch(row -> !row.part().startsWith("intake"));
-        FakeTableStore.CommitBehaviour[] fates = FakeTableStore.CommitBehaviour.values();
+        FakeTableStore.CommitBehaviour[] behaviours = FakeTableStore.CommitBehaviour.values();
         return leading || random.nextBoolean()
             ? FakeTableStore.CommitBehaviour.GOOD
-            : fates[random.nextInt(fates.length)];
+            : behaviours[random.nextInt(behaviours.length)];
       }
 
       private void plan(String id) {
--- a/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/FakeTableStore.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.cottontack.core.peer.Payload;
 
-/** The platform's store in virtual time, with versions, conditions, and lost or late answers. */
+/** The platform's store in virtual time, with versions, conditions, and lost or late responses. */
 final class FakeTableStore {
 
   private static final long RESPONSE_MILLIS = 10;
@@ -31,10 +31,11 @@
     GOOD,
     /** The store refuses it and does nothing. */
     REFUSED,
-    /** It is carried out, and the answer is lost. */
+    /** It is carried out, and the response is lost. */
     ANSWER_LOST,
     /**
-     * It is carried out {@link #lateMillis} later if its condition still holds; there is no answer.
+     * It is carried out {@link #lateMillis} later if its condition still holds; there is no
+     * response.
      */
     LATE
   }
@@ -66,7 +67,7 @@
    */
   long readMillis = RESPONSE_MILLIS;
 
-  /** Extra latency of the answer to a call, in milliseconds. */
+  /** Extra latency of the response to a call, in milliseconds. */
   ToLongFunction<String> extraLatencyMillis = call -> 0;
 
   FakeTableStore(VirtualTimers time) {
@@ -102,42 +103,42 @@
     @Override
     public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
       if (!reachable.test("commit")) {
-        process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
+        process.after(timeoutMillis, () -> done.accept(result(CommitResult.Outcome.UNKNOWN)));
         return;
       }
       switch (commitBehaviour.apply(transaction)) {
         case GOOD -> {
           boolean[] completed = {false};
           Consumer<CommitResult> once =
-              answer -> {
+              result -> {
                 if (!completed[0]) {
                   completed[0] = true;
-                  done.accept(answer);
+                  done.accept(result);
                 }
               };
           self.after(
               queueDelayMillis(transaction),
               () -> {
-                CommitResult answer = apply(transaction);
-                process.after(0, () -> once.accept(answer));
+                CommitResult result = apply(transaction);
+                process.after(0, () -> once.accept(result));
               });
-          process.after(timeoutMillis, () -> once.accept(answer(CommitResult.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> once.accept(result(CommitResult.Outcome.UNKNOWN)));
         }
         case REFUSED ->
-            process.after(RESPONSE_MILLIS, () -> done.accept(answer(CommitResult.Outcome.REFUSED)));
+            process.after(RESPONSE_MILLIS, () -> done.accept(result(CommitResult.Outcome.REFUSED)));
         case ANSWER_LOST -> {
           self.after(RESPONSE_MILLIS, () -> apply(transaction));
-          process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> done.accept(result(CommitResult.Outcome.UNKNOWN)));
         }
         case LATE -> {
           self.after(lateMillis, () -> apply(transaction));
-          process.after(timeoutMillis, () -> done.accept(answer(CommitResult.Outcome.UNKNOWN)));
+          process.after(timeoutMillis, () -> done.accept(result(CommitResult.Outcome.UNKNOWN)));
         }
-        default -> throw new IllegalStateException("unknown fate");
+        default -> throw new IllegalStateException("unknown behaviour");
       }
     }
 
-    private CommitResult answer(CommitResult.Outcome outcome) {
+    private CommitResult result(CommitResult.Outcome outcome) {
       return CommitResult.of(outcome);
     }
 
@@ -167,16 +168,15 @@
           clock());
     }
 
-    /**
-     * Delivers an answer to the process, or the timeout result if the answer would arrive too late.
-     */
-    private <T> void deliver(String call, long deadlineMillis, T answer, T none, Consumer<T> done) {
+    /** Delivers a response to the process, or the timeout result if it would arrive too late. */
+    private <T> void deliver(
+        String call, long deadlineMillis, T response, T none, Consumer<T> done) {
       long now = self.now().mono();
       long delayMillis = extraLatencyMillis.applyAsLong(call);
       boolean lost = now + delayMillis > deadlineMillis;
       process.after(
           lost ? Math.max(0, deadlineMillis - now) : delayMillis,
-          () -> done.accept(lost ? none : answer));
+          () -> done.accept(lost ? none : response));
     }
 
     @Override
--- a/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/InheritedLeasesTest.java
@@ -89,7 +89,7 @@
       simulation
           .store
           .seenBy(simulation.time.process(), call -> true)
-          .commit(old, 1_000, answer -> {});
+          .commit(old, 1_000, result -> {});
       simulation.time.run(100);
       Candidate first = simulation.candidate("a", 1);
       final long seen = first.timers.now().mono();
--- a/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/IntakeTest.java
@@ -15,7 +15,7 @@
 import org.cottontack.core.peer.Payload;
 import org.testng.annotations.Test;
 
-/** Tests that the answers to callers are correct, whatever happens to the store's answers. */
+/** Tests that the answers to callers are correct, whatever happens to the store's responses. */
 public class IntakeTest {
 
   private static final JobId ID = new JobId("5c0e7a21d94b36f8");
@@ -76,8 +76,8 @@
     }
 
     /**
-     * The write is carried out and its answer is lost. The repeated write finds the row, which
-     * shows that the job is stored, so the caller must be told that it is stored.
+     * The write is carried out and its response is lost. The repeated write finds the row, which
+     * shows that the job is stored, so the answer to the caller must be "stored".
      */
     @Test
     public void reportsStoredWhenTheResponseIsLost() {
@@ -85,12 +85,12 @@
       boolean[] first = {true};
       simulation.store.commitBehaviour =
           change -> {
-            FakeTableStore.CommitBehaviour fate =
+            FakeTableStore.CommitBehaviour behaviour =
                 first[0]
                     ? FakeTableStore.CommitBehaviour.ANSWER_LOST
                     : FakeTableStore.CommitBehaviour.GOOD;
             first[0] = false;
-            return fate;
+            return behaviour;
           };
       simulation.submit(simulation.instance());
       simulation.time.run(1_000);
@@ -113,7 +113,7 @@
     }
 
     /**
-     * The first write gets no answer and is carried out seconds later; all others are refused. A
+     * The first write gets no response and is carried out seconds later; all others are refused. A
      * rejection would be wrong, because the job will run: the answer must be "unknown".
      */
     @Test
@@ -122,12 +122,12 @@
       boolean[] first = {true};
       simulation.store.commitBehaviour =
           change -> {
-            FakeTableStore.CommitBehaviour fate =
+            FakeTableStore.CommitBehaviour behaviour =
                 first[0]
                     ? FakeTableStore.CommitBehaviour.LATE
                     : FakeTableStore.CommitBehaviour.REFUSED;
             first[0] = false;
-            return fate;
+            return behaviour;
           };
       simulation.submit(simulation.instance());
       simulation.time.run(5_000);
@@ -205,7 +205,7 @@
 
     /**
      * The process is paused for 5 s, or gets almost no processor time, and has not read the store's
-     * answers. Callers that arrive afterwards must be served, because the store was not silent.
+     * responses. Callers that arrive afterwards must be served, because the store was not silent.
      */
     @Test
     public void acceptsJobsAfterPause() {
@@ -296,9 +296,9 @@
     }
 
     /**
-     * The stored progress of a job is damaged. The caller must be told at once that the state is
-     * unknown, and must not be told that the job does not exist. Without an answer the caller would
-     * wait until its timeout.
+     * The stored progress of a job is damaged. The answer to the caller must be "unknown" at once,
+     * and not that the job does not exist. Without an answer the caller would wait until its
+     * timeout.
      */
     @Test
     public void reportsUnknownForUnreadableProgress() {
@@ -306,7 +306,7 @@
       VirtualTimers.View process = simulation.time.process();
       Transaction change =
           new Transaction(Map.of(), Map.of(JobTables.progress(ID), Payload.of("?")), List.of());
-      simulation.store.seenBy(process, call -> true).commit(change, 1_000, answer -> {});
+      simulation.store.seenBy(process, call -> true).commit(change, 1_000, result -> {});
       simulation.time.run(100);
       List<Intake.State> states = new ArrayList<>();
       simulation.instance().state(ID, states::add);
@@ -348,8 +348,8 @@
     }
 
     /**
-     * Guards against a job that is stored and runs although its caller was told that there is no
-     * such job.
+     * Guards against a job that is stored and runs although its caller received the answer that
+     * there is no such job.
      */
     @Test
     public void rejectsSubmissionsAfterTheirCancellation() {
@@ -403,7 +403,7 @@
       simulation.time.run(1_000);
       VirtualTimers.View process = simulation.time.process();
       Transaction removal = new Transaction(Map.of(), Map.of(), List.of(JobTables.job(ID)));
-      simulation.store.seenBy(process, call -> true).commit(removal, 1_000, answer -> {});
+      simulation.store.seenBy(process, call -> true).commit(removal, 1_000, result -> {});
       simulation.time.run(10_000);
       assertEquals(simulation.answers.get(1), Intake.Answer.UNKNOWN);
       assertTrue(simulation.store.table(JobTables.CANCELS).isEmpty());
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateSubmissionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateSubmissionTest.java
@@ -95,8 +95,8 @@
   public static class CarriedOutLate {
 
     /**
-     * Guards against a job that runs although its caller was told that it is cancelled or does not
-     * exist.
+     * Guards against a job that runs although its caller received the answer that it is cancelled
+     * or does not exist.
      */
     @Test
     public void leavesNoActiveJobAfterAnAcknowledgedCancellation() {
@@ -108,8 +108,8 @@
       simulation.store.commitBehaviour =
           change -> {
             simulation.store.lateMillis = 50L + random.nextInt(10_000);
-            FakeTableStore.CommitBehaviour[] fates = FakeTableStore.CommitBehaviour.values();
-            return fates[random.nextInt(fates.length)];
+            FakeTableStore.CommitBehaviour[] behaviours = FakeTableStore.CommitBehaviour.values();
+            return behaviours[random.nextInt(behaviours.length)];
           };
       simulation.submitAfter(0);
       if (random.nextBoolean()) {
--- a/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LateUpdatesTest.java
@@ -67,9 +67,9 @@
           if (!requested.equals(call) || now < from || now > until) {
             return 0;
           }
-          boolean one = first[0];
+          boolean isFirst = first[0];
           first[0] = false;
-          return one ? delayMillis : LOST_MILLIS;
+          return isFirst ? delayMillis : LOST_MILLIS;
         };
   }
 
@@ -329,7 +329,7 @@
 
     /** Guards against a long time without starts after the wall clock was set. */
     @Test
-    public void pausesBrieflyAfterClockJumps() {
+    public void startsAgainSoonAfterClockJumps() {
       Map<Long, Long> pauses =
           CLOCK_JUMPS.stream().collect(Collectors.toMap(jump -> jump, WithoutDelay::longestPause));
       List<Long> tooLong =
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderSimulation.java
@@ -73,7 +73,7 @@
 
   void write(Map<RowKey, Payload> rows) {
     Transaction transaction = new Transaction(Map.of(), rows, List.of());
-    store.seenBy(process, call -> true).commit(transaction, 1_000, answer -> {});
+    store.seenBy(process, call -> true).commit(transaction, 1_000, result -> {});
     time.run(100);
   }
 
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaderTest.java
@@ -11,7 +11,7 @@
 import org.cottontack.core.job.JobId;
 import org.testng.annotations.Test;
 
-/** Tests of a leader over a store that loses, delays and suppresses responses. */
+/** Tests of a leader over a store that loses or delays responses, or carries calls out late. */
 public class LeaderTest {
 
   /** Starts of submitted jobs. */
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipHandoverTest.java
@@ -63,8 +63,9 @@
     }
 
     /**
-     * The last leader was large, and only small instances are left. One of them must lead, later
-     * only by the head start of larger instances; if it waited for larger ones, nobody would lead.
+     * The last leader was large, and only small instances are left. One of them must lead, delayed
+     * only by the time in which a larger instance could take over first; if it waited for larger
+     * ones, nobody would lead.
      */
     @Test
     public void smallInstancesLeadWhenNoLargerOneRuns() {
@@ -153,7 +154,7 @@
      * the same request again.
      */
     @Test
-    public void standsBackForInstancesWithUnansweredRequests() {
+    public void delaysTakeoverForInstancesWithUnansweredRequests() {
       for (int round = 0; round < 20; round++) {
         ElectionSimulation simulation = new ElectionSimulation();
         final Candidate first = with(simulation, "a", "dc", SMALL);
@@ -198,14 +199,14 @@
       final Candidate first = with(simulation, "a", "dc", SMALL);
       simulation.time.run(1_000);
       final Candidate next = with(simulation, "b", "dc", LARGE);
-      Map<RowKey, Payload> odd =
+      Map<RowKey, Payload> unreadable =
           Map.of(
               LeadershipHandover.REQUEST,
               Payload.of("x 1 2 dc"),
               LeadershipHandover.CAPACITY,
               Payload.of("x 1"));
       TableStore other = simulation.store.seenBy(simulation.time.process(), call -> true);
-      other.commit(new Transaction(Map.of(), odd, List.of()), 1_000, answer -> {});
+      other.commit(new Transaction(Map.of(), unreadable, List.of()), 1_000, result -> {});
       simulation.time.run(3_000);
       first.timers.killed = true;
       simulation.time.run(3_500);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeadershipTest.java
@@ -40,12 +40,12 @@
       boolean[] first = {true};
       simulation.store.commitBehaviour =
           change -> {
-            FakeTableStore.CommitBehaviour fate =
+            FakeTableStore.CommitBehaviour behaviour =
                 first[0]
                     ? FakeTableStore.CommitBehaviour.ANSWER_LOST
                     : FakeTableStore.CommitBehaviour.GOOD;
             first[0] = false;
-            return fate;
+            return behaviour;
           };
       Candidate only = simulation.candidate("a", 1);
       simulation.time.run(4_000);
--- a/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/LeaseRowTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void waitsForWhatTheLastLeaderGave() {
+    public void waitsForLeasesOfTheLastLeader() {
       LeaseRow row = new LeaseRow("self/1");
       row.inherit(Optional.of(LeaseText.parse(OLD_TEXT)), 5_000);
       assertEquals(row.inheritedLeaseEndMillis(), 5_000 + LeaderLease.GRANT_MILLIS);
@@ -45,7 +45,7 @@
      * A leader that yields before it granted any lease passes on only the leases that it inherited.
      */
     @Test
-    public void passesOnWhatIsLeft() {
+    public void passesOnRemainingInheritedLeases() {
       LeaseRow row = new LeaseRow("self/1");
       row.inherit(Optional.of(LeaseText.parse(OLD_TEXT)), 5_000);
       LeaseText free = read(row.free("", at(8_000), false));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    public void statesNoTimeBeforeTheStoreDid() {
+    public void statesNoTimeBeforeTheFirstStoreResponse() {
       assertEquals(read(new LeaseRow("self/1").held(1, at(1_100), true)).sentMillis(), 0);
     }
   }
--- a/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/RetentionTest.java
@@ -38,7 +38,7 @@
 
     private void write(RowKey row) {
       Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("x")), List.of());
-      view.commit(change, 1_000, answer -> {});
+      view.commit(change, 1_000, result -> {});
     }
 
     boolean has(String table, String id) {
@@ -102,7 +102,7 @@
     }
 
     /**
-     * The store refuses some transactions and loses answers of others; the rows must still be
+     * The store refuses some transactions and loses responses to others; the rows must still be
      * removed in the end.
      */
     @Test
@@ -141,9 +141,9 @@
       simulation.view.commit(
           change,
           1_000,
-          answer ->
+          result ->
               simulation.retention.addUnmatchedCancellation(
-                  new Row(at, Payload.of("0"), answer.version(), false)));
+                  new Row(at, Payload.of("0"), result.version(), false)));
       simulation.time.run(20);
     }
 
@@ -194,23 +194,25 @@
     }
 
     /**
-     * Guards against rows that are never removed because one removal was refused or had no answer.
+     * Guards against rows that are never removed because one removal was refused or had no
+     * response.
      */
     @Test
     public void retriesFailedRemovals() {
       Simulation simulation = new Simulation();
       write(simulation, AT);
-      List<FakeTableStore.CommitBehaviour> fates =
+      List<FakeTableStore.CommitBehaviour> behaviours =
           new ArrayList<>(
               List.of(
                   FakeTableStore.CommitBehaviour.REFUSED,
                   FakeTableStore.CommitBehaviour.LATE,
                   FakeTableStore.CommitBehaviour.ANSWER_LOST));
       simulation.store.commitBehaviour =
-          change -> fates.isEmpty() ? FakeTableStore.CommitBehaviour.GOOD : fates.remove(0);
+          change ->
+              behaviours.isEmpty() ? FakeTableStore.CommitBehaviour.GOOD : behaviours.remove(0);
       simulation.time.run(KEEP_MILLIS + 30_000);
       assertFalse(simulation.has(JobTables.CANCELS, "orphan"));
-      assertTrue(fates.size() <= 1);
+      assertTrue(behaviours.size() <= 1);
     }
 
     /**
--- a/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StartsSimulation.java
@@ -26,9 +26,9 @@
 import org.cottontack.core.peer.Payload;
 
 /**
- * One instance, a store and a worker with capacity for two tasks, where a job of many short tasks
- * starts tasks continuously. Other instances accept cancellations, an operator evacuates the data
- * centre, and the list of workers states that the worker drains: each of these is a row of the
+ * One instance, a store and a worker with capacity for two tasks. A job has so many short tasks
+ * that starts occur continuously. Other instances accept cancellations, an operator evacuates the
+ * data centre, and the list of workers states that the worker drains: each of these is a row of the
  * store.
  */
 final class StartsSimulation implements WorkerRegistry, WorkerClient {
@@ -41,7 +41,7 @@
   private static final int TASKS = 400;
   private static final long WORK_MILLIS = 100;
   private static final long POLL_MILLIS = 50;
-  private static final long ORDER_MILLIS = 900;
+  private static final long ORDER_TIMEOUT_MILLIS = 900;
   private static final long NEVER_MILLIS = 1_000_000;
 
   final VirtualTimers time = new VirtualTimers();
@@ -64,7 +64,7 @@
   int notSent;
 
   /** Number of start orders that arrived after the end of their lease. */
-  int late;
+  int lateOrders;
 
   private final VirtualTimers.View others = time.process();
   private final Map<RowKey, Long> written = new HashMap<>();
@@ -97,7 +97,7 @@
     Transaction change = new Transaction(Map.of(), Map.of(row, Payload.of("now")), List.of());
     store
         .seenBy(others, call -> true)
-        .commit(change, 1_000, answer -> written.put(row, others.now().mono()));
+        .commit(change, 1_000, result -> written.put(row, others.now().mono()));
   }
 
   /** Writes a row after a delay, as others do. */
@@ -193,7 +193,7 @@
       done.accept(StartResult.NOT_SENT);
       return;
     }
-    boolean answers = orderDelayMillis < ORDER_MILLIS;
+    boolean answers = orderDelayMillis < ORDER_TIMEOUT_MILLIS;
     others.after(
         orderDelayMillis,
         () -> {
@@ -203,7 +203,7 @@
           }
         });
     if (!answers) {
-      process.after(ORDER_MILLIS, () -> done.accept(StartResult.UNKNOWN));
+      process.after(ORDER_TIMEOUT_MILLIS, () -> done.accept(StartResult.UNKNOWN));
     }
   }
 
@@ -217,7 +217,7 @@
       return StartResult.OLD;
     }
     if (start.deadlineMillis() <= now) {
-      late++;
+      lateOrders++;
       return StartResult.LATE;
     }
     leaseEndMillis = Math.max(leaseEndMillis, start.deadlineMillis());
@@ -248,11 +248,12 @@
 
   @Override
   public void stop(JobEffect.StopRun stop, long epoch, Consumer<Boolean> done) {
-    boolean answers = orderDelayMillis < ORDER_MILLIS && !losesStops;
+    boolean answers = orderDelayMillis < ORDER_TIMEOUT_MILLIS && !losesStops;
     others.after(
         losesStops ? NEVER_MILLIS : orderDelayMillis,
         () -> end(stop.run(), WorkerReport.CompletionStatus.STOPPED));
-    process.after(answers ? orderDelayMillis + 1 : ORDER_MILLIS, () -> done.accept(answers));
+    process.after(
+        answers ? orderDelayMillis + 1 : ORDER_TIMEOUT_MILLIS, () -> done.accept(answers));
   }
 
   @Override
--- a/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/StoreClockTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void knowsNothingBeforeTheFirstResponse() {
+    public void isEmptyBeforeTheFirstResponse() {
       StoreClock clock = new StoreClock();
       clock.update(at(1_000), at(1_040), 0);
       assertEquals(clock.latest(at(1_040)), OptionalLong.empty());
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherGapsTest.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
+    public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
       throw new AssertionError("a watcher writes nothing");
     }
 
@@ -126,7 +126,7 @@
      * has discarded.
      */
     @Test
-    public void deliversForgottenChanges() {
+    public void deliversDiscardedChanges() {
       ScriptedStore store = new ScriptedStore();
       store.answerScan(5, row("one", "a", 3), row("one", "b", 4));
       store.answerScan(5);
@@ -142,7 +142,10 @@
           store.delivered, List.of("a+3", "b+4", "current", "a-21", "b+12", "c+13", "d+22"));
     }
 
-    /** Guards against losing a removal between two scans because its version looks old. */
+    /**
+     * Guards against losing the removal of a row between the scans of two partitions: the version
+     * of the scan is then no higher than that of the row.
+     */
     @Test
     public void deliversRemovalsBetweenTwoScans() {
       ScriptedStore store = new ScriptedStore();
@@ -256,7 +259,7 @@
               ? new Transaction(Map.of(), Map.of(), List.of(at))
               : new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of()),
           1_000,
-          answer -> {});
+          result -> {});
     }
 
     private void deliver(Row row) {
@@ -270,7 +273,7 @@
     }
 
     @Override
-    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
+    public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
       throw new AssertionError("a watcher writes nothing");
     }
 
--- a/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/TableWatcherTest.java
@@ -49,7 +49,7 @@
     void write(String key, String text) {
       RowKey at = new RowKey(TABLE, "", key);
       Transaction transaction = new Transaction(Map.of(), Map.of(at, Payload.of(text)), List.of());
-      seen.commit(transaction, 1_000, answer -> {});
+      seen.commit(transaction, 1_000, result -> {});
       time.run(200);
     }
   }
@@ -62,7 +62,7 @@
         Transaction transaction =
             new Transaction(
                 Map.of(), Map.of(new RowKey(TABLE, "", "k" + i), Payload.of("v")), List.of());
-        simulation.seen.commit(transaction, 1_000, answer -> {});
+        simulation.seen.commit(transaction, 1_000, result -> {});
         simulation.time.run(10);
       }
       simulation.time.run(300);
--- a/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/VirtualTimers.java
@@ -7,12 +7,12 @@
 /** Virtual time, which a test advances. */
 final class VirtualTimers {
 
-  private record Due(long at, long order, View view, Runnable task) {}
+  private record Due(long at, long number, View view, Runnable task) {}
 
   private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
   private long now = 1_000;
-  private long orders;
+  private long taskCount;
 
   /** Timers of one process; they never fire again after the process is killed. */
   final class View implements Timers {
@@ -43,8 +43,8 @@
 
     @Override
     public void after(long millis, Runnable task) {
-      orders++;
-      due.add(new Due(now + millis + lateMillis, orders, this, task));
+      taskCount++;
+      due.add(new Due(now + millis + lateMillis, taskCount, this, task));
     }
   }
 
@@ -63,7 +63,7 @@
       Due next = due.poll();
       now = Math.max(now, next.at());
       if (now < next.view().resumesMillis) {
-        due.add(new Due(next.view().resumesMillis, next.order(), next.view(), next.task()));
+        due.add(new Due(next.view().resumesMillis, next.number(), next.view(), next.task()));
       } else if (!next.view().killed) {
         next.task().run();
       }
--- a/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
@@ -13,7 +13,7 @@
 /** Tests of how the store's availability and latency are derived from the calls made to it. */
 public class WatchedStoreTest {
 
-  private static final TableStore.Scan ANSWER = new TableStore.Scan(true, List.of(), 1, 1);
+  private static final TableStore.Scan RESPONSE = new TableStore.Scan(true, List.of(), 1, 1);
   private static final Transaction NOTHING = new Transaction(Map.of(), Map.of(), List.of());
 
   /** A store that answers only when the test calls the consumer. */
@@ -22,7 +22,7 @@
     final List<Consumer<CommitResult>> commits = new ArrayList<>();
 
     @Override
-    public void commit(Transaction change, long timeoutMillis, Consumer<CommitResult> done) {
+    public void commit(Transaction transaction, long timeoutMillis, Consumer<CommitResult> done) {
       commits.add(done);
     }
 
@@ -46,7 +46,7 @@
   public static class Availability {
 
     /**
-     * A read gets no answer: after 0.7 s the store counts as unavailable, until it answers again.
+     * A read gets no response: after 0.7 s the store counts as unavailable, until it answers again.
      */
     @Test
     public void detectsSilence() {
@@ -56,16 +56,16 @@
       assertFalse(simulation.watched.unavailable());
       simulation.time.run(400);
       assertTrue(simulation.watched.unavailable());
-      simulation.store.scans.get(0).accept(ANSWER);
+      simulation.store.scans.get(0).accept(RESPONSE);
       assertFalse(simulation.watched.unavailable());
     }
 
     /**
-     * There are no calls in flight, or only waits for changes whose answers are not due yet. That
+     * There are no calls in flight, or only waits for changes whose responses are not due yet. That
      * does not count as silence.
      */
     @Test
-    public void waitsUntilAnAnswerIsDue() {
+    public void waitsUntilAResponseIsDue() {
       Simulation simulation = new Simulation();
       simulation.time.run(5_000);
       assertFalse(simulation.watched.unavailable());
@@ -77,7 +77,7 @@
     }
 
     /**
-     * The process is paused for 5 s with a read in flight, and has not read its answer. By the
+     * The process is paused for 5 s with a read in flight, and has not read its response. By the
      * clock the store was silent for 5 s, and the first callers after the pause would be rejected.
      */
     @Test
@@ -98,14 +98,14 @@
     @Test
     public void countsRefusalsAsUnavailable() {
       Simulation simulation = new Simulation();
-      simulation.watched.commit(NOTHING, 1_000, answer -> {});
+      simulation.watched.commit(NOTHING, 1_000, result -> {});
       simulation.store.commits.get(0).accept(CommitResult.of(CommitResult.Outcome.REFUSED));
       simulation.time.run(1_000);
       assertTrue(simulation.watched.unavailable());
     }
   }
 
-  /** How long to wait for an answer before a call is repeated. */
+  /** How long to wait for a response before a call is repeated. */
   public static class RetryTimeout {
 
     @Test
@@ -114,7 +114,7 @@
       final long usual = simulation.watched.retryTimeoutMillis();
       simulation.watched.probe();
       simulation.time.run(300);
-      simulation.store.scans.get(0).accept(ANSWER);
+      simulation.store.scans.get(0).accept(RESPONSE);
       assertEquals(simulation.watched.retryTimeoutMillis(), 1_200);
       simulation.time.run(20_000);
       assertEquals(simulation.watched.retryTimeoutMillis(), usual);
--- a/daemon/src/test/java/org/cottontack/daemon/timeline/TimelineTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/timeline/TimelineTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of the causal order of timestamps and of the time line's limit. */
+/** Tests of the causal order of timestamps and of the timeline's limit. */
 public final class TimelineTest {
 
   private TimelineTest() {}
