--- a/adapters/src/main/java/org/cottontack/adapters/AdapterException.java
+++ b/adapters/src/main/java/org/cottontack/adapters/AdapterException.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** Signals an error in an adapter; exceptions of the libraries below are translated into it. */
+/**
+ * Signals an error in an adapter; exceptions of the libraries that adapters use are translated into
+ * it.
+ */
 public final class AdapterException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/adapters/src/main/java/org/cottontack/adapters/request/HttpEndpoints.java
+++ b/adapters/src/main/java/org/cottontack/adapters/request/HttpEndpoints.java
@@ -33,8 +33,9 @@
   private static final long PROBE_TIMEOUT_MILLIS = 1_000;
 
   /**
-   * Time beyond the deadline of a request after which its connection is closed, in milliseconds.
-   * The slot of an endpoint that never answers stays occupied.
+   * Time after the deadline of a request until its connection is closed, in milliseconds. If the
+   * endpoint has not answered by then, the slot stays occupied until a report of the endpoint no
+   * longer lists the attempt.
    */
   private static final long GRACE_MILLIS = 30_000;
 
--- a/adapters/src/main/java/org/cottontack/adapters/table/TableText.java
+++ b/adapters/src/main/java/org/cottontack/adapters/table/TableText.java
@@ -34,12 +34,12 @@
    * @param name the unique name
    * @param kind service or batch
    * @param team the team
-   * @param weight the share by day
-   * @param nightWeight the share by night; defaults to the share by day
+   * @param weight the weight by day
+   * @param nightWeight the weight by night; defaults to the weight by day
    * @param idempotent whether the work may safely run twice; defaults to false
    * @param targetMillis the expected latency of a service
    * @param deadlineMillis the longest time until a response or the end of the work
-   * @param maxInFlight the maximum number in progress at the same time
+   * @param maxInFlight the maximum number of requests or tasks in progress at the same time
    * @param demand the declared resources of batch work
    * @param urgent whether batch work is started before other batch work
    */
--- a/adapters/src/main/java/org/cottontack/adapters/task/WorkerMessages.java
+++ b/adapters/src/main/java/org/cottontack/adapters/task/WorkerMessages.java
@@ -41,7 +41,8 @@
    *
    * @param boot the identifier of the worker's boot
    * @param clock the worker's monotonic clock in milliseconds
-   * @param runs all attempts that the worker holds
+   * @param runs all attempts that the worker runs, and ended ones that it was not yet ordered to
+   *     forget
    */
   public record Report(String boot, long clock, List<RunState> runs) {}
 
--- a/core/src/main/java/org/cottontack/core/fleet/FleetEvent.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetEvent.java
@@ -13,7 +13,7 @@
   /** Timer: requests the platform's list of instances. */
   record ListDue() implements FleetEvent {}
 
-  /** Timer: probes the endpoints of which this process does not know exactly what they run. */
+  /** Timer: probes the endpoints whose running attempts are not exactly known to this process. */
   record ProbeDue() implements FleetEvent {}
 
   /**
--- a/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
+++ b/core/src/main/java/org/cottontack/core/fleet/FleetReducer.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Updates the endpoints from the list. One that is missing from it gets no new work, but the
-   * answers of the attempts that run there are still awaited.
+   * Updates the endpoints from the list. One that is missing from it gets no new work, but this
+   * process still waits for the answers of the attempts that run there.
    */
   private static State endpoints(State state, List<MemberInfo> listed) {
     Map<EndpointId, MemberInfo> byId = byId(listed, EndpointId::new);
@@ -178,9 +178,9 @@
             && state.ownership().mayAct(state.mono())
             && state.ownership().owns(name(known));
     long lastSent = event.askedAt() - state.settings().orderLifetime();
-    EndpointView read =
+    EndpointView reported =
         known.reported(event.running(), lastSent, state.requests()::awaits, state.mono());
-    EndpointView next = known.held() || open ? read.withHeld(true) : read;
+    EndpointView next = known.held() || open ? reported.withHeld(true) : reported;
     Step step = Step.of(state.with(state.fleet().with(next)));
     return known.held() == next.held()
         ? step.with(new Effect.Raise(new FleetEvent.SlotsFreed()))
--- a/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
+++ b/core/src/main/java/org/cottontack/core/fleet/WorkerView.java
@@ -13,7 +13,7 @@
  * @param leaving whether it must receive no new work
  * @param owned whether this process owns it and may send it orders
  * @param ownedSince when this process became its owner, or -1
- * @param read whether it has reported what it runs since this process became its owner
+ * @param reported whether it has reported what it runs since this process became its owner
  * @param boot identifier of its current boot, empty before the first report
  * @param clockOffset lower bound of its clock minus this process's clock
  * @param answeredAt when it last answered, or -1
@@ -31,7 +31,7 @@
     boolean leaving,
     boolean owned,
     long ownedSince,
-    boolean read,
+    boolean reported,
     String boot,
     long clockOffset,
     long answeredAt,
@@ -77,10 +77,13 @@
 
   /** Returns whether tasks may be placed here at the given time. */
   public boolean takesTasks(long now) {
-    return owned && read && !leaving && !silent(now) && now >= quarantinedUntil;
+    return owned && reported && !leaving && !silent(now) && now >= quarantinedUntil;
   }
 
-  /** Returns whether it has not answered for so long that its tasks' leases are left to expire. */
+  /**
+   * Returns whether it has not answered for so long that the leases of its tasks are no longer
+   * renewed.
+   */
   public boolean silent(long now) {
     return answeredAt < 0 || now - answeredAt > SILENCE_MILLIS;
   }
@@ -120,7 +123,7 @@
         leaving,
         owned,
         ownedSince,
-        read,
+        reported,
         boot,
         clockOffset,
         answeredAt,
@@ -140,7 +143,7 @@
         leaving,
         owned,
         ownedSince,
-        read,
+        reported,
         boot,
         clockOffset,
         answeredAt,
@@ -166,7 +169,7 @@
         leaving,
         owned,
         ownedSince,
-        read,
+        reported,
         boot,
         clockOffset,
         answeredAt,
@@ -186,7 +189,7 @@
         info.leaving(),
         owned,
         ownedSince,
-        read,
+        reported,
         boot,
         clockOffset,
         answeredAt,
@@ -229,7 +232,7 @@
         true,
         owned,
         ownedSince,
-        read,
+        reported,
         boot,
         clockOffset,
         answeredAt,
--- a/core/src/main/java/org/cottontack/core/id/AttemptId.java
+++ b/core/src/main/java/org/cottontack/core/id/AttemptId.java
@@ -1,7 +1,8 @@
 package org.cottontack.core.id;
 
 /**
- * Identifies one dispatch of a request to an endpoint; unique among all processes.
+ * Identifies one dispatch of a request to an endpoint or to another entry instance; unique among
+ * all processes.
  *
  * @param value the text, never blank
  */
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipState.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipState.java
@@ -24,11 +24,11 @@
  * @param peers leases of other incarnations
  * @param barrierEpoch newest epoch that all members have acknowledged, as read from their leases
  * @param usableFrom time from which resources gained in that epoch may be used
- * @param given promises made to other members, each with its end
+ * @param promisedUntil promises made to other members, each with its end
  * @param reassigning whether a change of members by this process is still without an outcome
  * @param round number of the current promise round
  * @param roundSent when that round was started
- * @param roundOpen members that have not yet promised in this round
+ * @param pendingPromises members that have not yet promised in this round
  */
 public record OwnershipState(
     OwnershipPhase phase,
@@ -43,11 +43,11 @@
     PMap<InstanceId, ObservedLease> peers,
     long barrierEpoch,
     long usableFrom,
-    PMap<InstanceId, Long> given,
+    PMap<InstanceId, Long> promisedUntil,
     boolean reassigning,
     long round,
     long roundSent,
-    PSet<InstanceId> roundOpen) {
+    PSet<InstanceId> pendingPromises) {
 
   /** The state of a process that has not started to join. */
   public static final OwnershipState EMPTY =
--- a/core/src/main/java/org/cottontack/core/ownership/OwnershipStateBuilder.java
+++ b/core/src/main/java/org/cottontack/core/ownership/OwnershipStateBuilder.java
@@ -19,11 +19,11 @@
   private PMap<InstanceId, ObservedLease> peers;
   private long barrierEpoch;
   private long usableFrom;
-  private PMap<InstanceId, Long> given;
+  private PMap<InstanceId, Long> promisedUntil;
   private boolean reassigning;
   private long round;
   private long roundSent;
-  private PSet<InstanceId> roundOpen;
+  private PSet<InstanceId> pendingPromises;
 
   OwnershipStateBuilder(OwnershipState from) {
     phase = from.phase();
@@ -38,11 +38,11 @@
     peers = from.peers();
     barrierEpoch = from.barrierEpoch();
     usableFrom = from.usableFrom();
-    given = from.given();
+    promisedUntil = from.promisedUntil();
     reassigning = from.reassigning();
     round = from.round();
     roundSent = from.roundSent();
-    roundOpen = from.roundOpen();
+    pendingPromises = from.pendingPromises();
   }
 
   OwnershipStateBuilder phase(OwnershipPhase value) {
@@ -90,8 +90,8 @@
     return this;
   }
 
-  OwnershipStateBuilder given(PMap<InstanceId, Long> value) {
-    given = value;
+  OwnershipStateBuilder promisedUntil(PMap<InstanceId, Long> value) {
+    promisedUntil = value;
     return this;
   }
 
@@ -103,12 +103,12 @@
   OwnershipStateBuilder round(long number, long sentAt, PSet<InstanceId> open) {
     round = number;
     roundSent = sentAt;
-    roundOpen = open;
+    pendingPromises = open;
     return this;
   }
 
-  OwnershipStateBuilder roundOpen(PSet<InstanceId> open) {
-    roundOpen = open;
+  OwnershipStateBuilder pendingPromises(PSet<InstanceId> open) {
+    pendingPromises = open;
     return this;
   }
 
@@ -126,10 +126,10 @@
         peers,
         barrierEpoch,
         usableFrom,
-        given,
+        promisedUntil,
         reassigning,
         round,
         roundSent,
-        roundOpen);
+        pendingPromises);
   }
 }
--- a/core/src/main/java/org/cottontack/core/ownership/Promises.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Promises.java
@@ -60,7 +60,8 @@
       return Step.of(state);
     }
     long until = state.mono() + state.settings().leaseMillis() + state.settings().driftMargin();
-    OwnershipState next = own.copy().given(own.given().plus(event.from(), until)).build();
+    OwnershipState next =
+        own.copy().promisedUntil(own.promisedUntil().plus(event.from(), until)).build();
     return Step.of(
         state.with(next),
         new PeerEffect.Send(
@@ -71,11 +72,11 @@
   private static Step recordPromise(State state, InstanceId from, PeerMessage.PromiseGiven given) {
     OwnershipState own = state.ownership();
     boolean current = given.round() == own.round() && given.epoch() == own.assignment().epoch();
-    if (!current || !own.roundOpen().contains(from)) {
+    if (!current || !own.pendingPromises().contains(from)) {
       return Step.of(state);
     }
-    PSet<InstanceId> open = own.roundOpen().minus(from);
-    OwnershipStateBuilder next = own.copy().roundOpen(open);
+    PSet<InstanceId> open = own.pendingPromises().minus(from);
+    OwnershipStateBuilder next = own.copy().pendingPromises(open);
     if (open.isEmpty()) {
       next.cover(coverUntil(state));
     }
--- a/core/src/main/java/org/cottontack/core/ownership/Revocation.java
+++ b/core/src/main/java/org/cottontack/core/ownership/Revocation.java
@@ -27,7 +27,7 @@
     }
     long now = state.mono();
     long wait = settings.leaseMillis() + settings.driftMargin();
-    if (now < lease.since() + wait || now < own.given().getOrDefault(member, 0L)) {
+    if (now < lease.since() + wait || now < own.promisedUntil().getOrDefault(member, 0L)) {
       return false;
     }
     return mustAskThisInstance(own, lease)
--- a/core/src/main/java/org/cottontack/core/request/ClaimRecord.java
+++ b/core/src/main/java/org/cottontack/core/request/ClaimRecord.java
@@ -10,8 +10,8 @@
  * @param phase the progress of the request
  * @param holder incarnation of the entry instance that may send it to an endpoint
  * @param bodyHash distinguishes a repeated request from another one with the same key
- * @param endpointStatus the endpoint's status once it answered
- * @param answer the endpoint's whole answer, or null if it was too large to keep
+ * @param endpointStatus the endpoint's status, or 0 until it has answered
+ * @param answer the endpoint's whole answer, or null if there is none or it was too large to keep
  */
 public record ClaimRecord(
     Phase phase, InstanceId holder, String bodyHash, int endpointStatus, Payload answer)
--- a/core/src/main/java/org/cottontack/core/request/Claiming.java
+++ b/core/src/main/java/org/cottontack/core/request/Claiming.java
@@ -17,8 +17,8 @@
 final class Claiming {
 
   /**
-   * Maximum size in bytes of an answer that is stored with its claim. A repeated request with a
-   * larger answer is told only that it ran.
+   * Maximum size in bytes of an answer that is stored with its claim. A repeated request whose
+   * answer is larger gets {@link Code#ANSWER_NOT_KEPT}.
    */
   static final int MAX_KEPT_ANSWER = 8_192;
 
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Tries to claim a request again whose claim another copy holds. That copy may be about to end or
-   * to release its claim. A short wait for its answer is better than an answer "in doubt", after
-   * which the caller would have to find out whether the request ran.
+   * Tries again to claim a request while another copy of it holds the claim. That copy may be about
+   * to end or to release its claim. A short wait for its answer is better than an answer "in
+   * doubt", after which the caller would have to find out whether the request ran.
    */
   static Step claimAgain(State state, RequestEvent.ClaimAgain event) {
     Request request = state.requests().open().get(event.id());
--- a/core/src/main/java/org/cottontack/core/request/Dispatching.java
+++ b/core/src/main/java/org/cottontack/core/request/Dispatching.java
@@ -12,7 +12,7 @@
 /** Assigns waiting requests to free slots and turns the results into final answers. */
 final class Dispatching {
 
-  private static final long DOUBT_RETRY_MILLIS = 1_000;
+  private static final long IN_DOUBT_RETRY_MILLIS = 1_000;
   private static final int FIRST_SERVER_ERROR = 500;
   private static final double MAX_EJECTED_SHARE = 0.5;
 
@@ -65,7 +65,7 @@
   private static Optional<Step> place(State state, Request request) {
     boolean usable = state.ownership().mayAct(state.mono()) && state.fleet().heldSlots() > 0;
     if (request.origin() != null && !usable) {
-      Answer refusal = Answer.of(Code.NO_ENDPOINT, DOUBT_RETRY_MILLIS);
+      Answer refusal = Answer.of(Code.NO_ENDPOINT, IN_DOUBT_RETRY_MILLIS);
       return Optional.of(RequestReducer.finish(state, request, refusal));
     }
     if (!state.ownership().mayAct(state.mono())) {
@@ -200,7 +200,7 @@
   /**
    * Retries or answers a request after a failed dispatch. If no byte of it left this process, it
    * may be retried whatever its kind. Otherwise it may be retried only if its row is idempotent;
-   * any other request may have run, and its caller is told at once that the outcome is unknown.
+   * any other request may have run, and its caller is informed at once that the outcome is unknown.
    */
   static Step afterFailure(State state, Request request, boolean sent) {
     boolean safe = !sent || request.row().idempotent();
@@ -208,10 +208,10 @@
       return requeue(state.with(state.requests().spendRetry()), request);
     }
     if (sent) {
-      Answer answer = Answer.of(Code.ENDPOINT_LOST, DOUBT_RETRY_MILLIS);
+      Answer answer = Answer.of(Code.ENDPOINT_LOST, IN_DOUBT_RETRY_MILLIS);
       return RequestReducer.finish(state, request, answer).then(Dispatching::dispatchWaiting);
     }
-    Answer answer = Answer.of(Code.NO_ENDPOINT, DOUBT_RETRY_MILLIS);
+    Answer answer = Answer.of(Code.NO_ENDPOINT, IN_DOUBT_RETRY_MILLIS);
     return RequestReducer.finish(state, request, answer)
         .then(s -> Claiming.release(s, request))
         .then(Dispatching::dispatchWaiting);
@@ -240,10 +240,10 @@
    * so its slot stays occupied until an answer or a report frees it.
    */
   static Step deadline(State state, Request request) {
-    Answer answer = Answer.of(Code.DEADLINE_AT_ENDPOINT, DOUBT_RETRY_MILLIS);
+    Answer answer = Answer.of(Code.DEADLINE_AT_ENDPOINT, IN_DOUBT_RETRY_MILLIS);
     Step step = RequestReducer.finish(state, request, answer);
     return request.row().idempotent()
         ? step
-        : step.then(s -> Step.of(s.with(state.requests().closeAwaiting(request))));
+        : step.then(s -> Step.of(s.with(state.requests().closeAsAbandoned(request))));
   }
 }
--- a/core/src/main/java/org/cottontack/core/request/Forwarding.java
+++ b/core/src/main/java/org/cottontack/core/request/Forwarding.java
@@ -35,7 +35,7 @@
    */
   static Step reportDue(State state) {
     PeerLoad lastReport = state.requests().reported();
-    int slots = slotsToOffer(state);
+    int slots = slotsToReport(state);
     boolean due =
         slots != lastReport.freeSlots() || state.mono() - lastReport.at() >= IDLE_REPORT_MILLIS;
     Step step = due ? report(state, slots) : Step.of(state);
@@ -53,7 +53,7 @@
     return Step.of(state.with(state.requests().withReported(lastReport)), sends);
   }
 
-  private static int slotsToOffer(State state) {
+  private static int slotsToReport(State state) {
     boolean accepts =
         state.ownership().phase() == OwnershipPhase.MEMBER
             && state.ownership().mayAct(state.mono());
@@ -91,7 +91,7 @@
             request.caller(),
             request.row().name(),
             request.key(),
-            millisToOffer(request.deadline() - state.mono()),
+            millisLeftForPeer(request.deadline() - state.mono()),
             request.body());
     return Step.of(
         state.with(Dispatching.dequeueAndCharge(state, request).sent(sent).with(peers)),
@@ -99,10 +99,10 @@
   }
 
   /**
-   * Returns the deadline for the other instance. It is shorter than the time left here, so that a
-   * refusal because of the deadline arrives before the deadline of this instance.
+   * Returns the time until the deadline of the other instance. It is shorter than the time left
+   * here, so that a refusal because of the deadline arrives before the deadline of this instance.
    */
-  private static long millisToOffer(long left) {
+  private static long millisLeftForPeer(long left) {
     return left - Math.min(MAX_RETURN_MARGIN_MILLIS, left / RETURN_MARGIN_DIVISOR);
   }
 
@@ -195,7 +195,7 @@
     Step step = RequestReducer.finish(state, request, answer);
     return request.row().idempotent()
         ? step
-        : step.then(s -> Step.of(s.with(state.requests().closeAwaiting(request))));
+        : step.then(s -> Step.of(s.with(state.requests().closeAsAbandoned(request))));
   }
 
   private static Step resolveLate(State state, AttemptId attempt, Answer answer) {
@@ -229,7 +229,7 @@
             .filter(request -> request.phase() == Phase.AT_PEER)
             .filter(request -> event.address().equals(request.sent().peer()))
             .toList();
-    State kept = state.with(state.requests().dropAwaiting(event.address()));
+    State kept = state.with(state.requests().dropAbandonedAt(event.address()));
     return Step.fold(kept, sentToPeer, (s, r) -> Dispatching.afterFailure(forget(s, r), r, true));
   }
 }
--- a/core/src/main/java/org/cottontack/core/request/Ran.java
+++ b/core/src/main/java/org/cottontack/core/request/Ran.java
@@ -8,7 +8,7 @@
 public enum Ran {
   /** It ran once, and the answer is complete. */
   RAN,
-  /** It did not run and will not run later because of this request. */
+  /** It did not run and will not run later unless it is sent again. */
   NOT_RUN,
   /** It may have run. */
   UNKNOWN;
--- a/core/src/main/java/org/cottontack/core/request/RequestEvent.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestEvent.java
@@ -18,7 +18,8 @@
    * @param row the row of the request
    * @param key idempotency key, or empty
    * @param bodyHash hash of the body
-   * @param millisLeft time until the deadline, or 0 for the deadline of the row
+   * @param millisLeft time until the deadline, 0 for the deadline of the row, or negative if the
+   *     deadline has passed
    * @param body the body
    */
   record Arrived(
--- a/core/src/main/java/org/cottontack/core/request/RequestState.java
+++ b/core/src/main/java/org/cottontack/core/request/RequestState.java
@@ -19,7 +19,7 @@
  * @param shares waiting requests and service received, by row
  * @param teamOpen number of open requests, by team
  * @param abandoned requests whose callers have an answer while the outcome of their claim's write
- *     or of their run is still awaited
+ *     or of their run is still pending
  * @param peers free slots of other entry instances
  * @param reported the last report to other entry instances
  * @param nextAttempt number of the next dispatch
@@ -54,7 +54,7 @@
           1,
           MAX_RETRY_TOKENS);
 
-  /** Returns whether an answer to this dispatch is still awaited. */
+  /** Returns whether this process still waits for an answer to this dispatch. */
   public boolean awaits(AttemptId attempt) {
     return byAttempt.containsKey(attempt);
   }
@@ -161,7 +161,7 @@
    * Closes a request whose run may still complete, and keeps it as abandoned, so that its outcome
    * can be recorded in its claim.
    */
-  RequestState closeAwaiting(Request request) {
+  RequestState closeAsAbandoned(Request request) {
     RequestState closed = close(request);
     return new RequestState(
         closed.open,
@@ -181,7 +181,7 @@
   }
 
   /** Stops waiting for outcomes that only a lost entry instance could have reported. */
-  RequestState dropAwaiting(String peer) {
+  RequestState dropAbandonedAt(String peer) {
     RequestState state = this;
     for (Request request : abandoned.values()) {
       boolean sentToPeer = request.phase() == Phase.AT_PEER && peer.equals(request.sent().peer());
--- a/core/src/main/java/org/cottontack/core/request/RowShare.java
+++ b/core/src/main/java/org/cottontack/core/request/RowShare.java
@@ -30,8 +30,9 @@
   }
 
   /**
-   * Adds a request to the queue. A row without waiting requests starts at the level of the others,
-   * so that it has no claim to service that it did not use during a pause.
+   * Adds a request to the queue. A row without waiting requests starts at least at {@code level},
+   * the value of {@code served} of the row that is served next, so that it has no claim to service
+   * that it did not use during a pause.
    */
   RowShare enqueue(RequestId id, double level) {
     double start = waiting.isEmpty() ? Math.max(served, level) : served;
--- a/core/src/main/java/org/cottontack/core/store/StoreEvent.java
+++ b/core/src/main/java/org/cottontack/core/store/StoreEvent.java
@@ -28,7 +28,8 @@
   record Committed(long batch) implements StoreEvent {}
 
   /**
-   * The transaction did not take effect with this attempt because rows had other versions.
+   * This attempt of the transaction did not take effect because some rows did not have the expected
+   * versions.
    *
    * @param batch number of the transaction
    * @param current the current content of those rows
--- a/core/src/main/java/org/cottontack/core/table/RowSpec.java
+++ b/core/src/main/java/org/cottontack/core/table/RowSpec.java
@@ -16,7 +16,7 @@
  * @param targetMillis for a service, the latency that its callers expect
  * @param deadlineMillis maximum duration of a request, or of a batch task from submission to end
  * @param maxInFlight maximum number of this row's requests in one entry instance, or of its tasks
- *     that run on an entry instance's share of the workers of a data centre
+ *     on the workers that one entry instance owns
  * @param demand declared resource demand of one batch task
  * @param urgent whether its batch tasks are placed before others
  */
--- a/core/src/main/java/org/cottontack/core/task/Placing.java
+++ b/core/src/main/java/org/cottontack/core/task/Placing.java
@@ -106,6 +106,10 @@
                 .thenComparing(WorkerView::id));
   }
 
+  /**
+   * Returns whether a task may be placed on a worker. The capacity in use there is known only if
+   * the records of its tasks were read and it runs no orphans.
+   */
   private static boolean usable(State state, WorkerView worker, TaskRecord record) {
     return worker.takesTasks(state.mono())
         && state.tasks().loaded().contains(worker.id())
--- a/core/src/main/java/org/cottontack/core/task/TaskView.java
+++ b/core/src/main/java/org/cottontack/core/task/TaskView.java
@@ -11,7 +11,7 @@
  * @param next the record being written, or null
  * @param usage the maximum of its measured usage in each dimension
  * @param checkpoint newest checkpoint that its worker reported, or null
- * @param orderedAt monotonic time of the last order about it
+ * @param orderedAt monotonic time of the last order or notice about it
  * @param keepUntil monotonic time until which it is kept even if another instance is responsible
  */
 public record TaskView(
--- a/core/src/main/java/org/cottontack/core/task/Transition.java
+++ b/core/src/main/java/org/cottontack/core/task/Transition.java
@@ -29,7 +29,10 @@
     }
   }
 
-  /** Submits a change; does nothing while the outcome of another change is pending. */
+  /**
+   * Submits a change. Does nothing while the outcome of another change is pending, or if the task
+   * may not change to the new phase.
+   */
   static Step write(State state, TaskView view, TaskRecord next) {
     boolean allowed =
         view.activity() != TaskView.Activity.WRITING
--- a/core/src/main/java/org/cottontack/core/task/WorkerPolling.java
+++ b/core/src/main/java/org/cottontack/core/task/WorkerPolling.java
@@ -22,7 +22,10 @@
    */
   private static final long IDLE_POLL_MILLIS = 2_000;
 
-  /** Time after the last order during which an attempt may end or change at any moment. */
+  /**
+   * Time after the last order about a task during which its worker is polled at the shorter
+   * interval, because the attempt may end or change at any moment.
+   */
   private static final long RECENT_ORDER_MILLIS = 10_000;
 
   private static final int MAX_FAILED_WORKERS = 3;
--- a/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
+++ b/core/src/test/java/org/cottontack/core/ownership/OwnershipTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.cottontack.core.id.InstanceId;
 import org.cottontack.core.id.RequestId;
-import org.cottontack.core.lab.FakeEndpoint;
-import org.cottontack.core.lab.FakeWorker;
-import org.cottontack.core.lab.Node;
-import org.cottontack.core.lab.Simulation;
 import org.cottontack.core.request.Code;
 import org.cottontack.core.request.Ran;
+import org.cottontack.core.simulation.FakeEndpoint;
+import org.cottontack.core.simulation.FakeWorker;
+import org.cottontack.core.simulation.Node;
+import org.cottontack.core.simulation.Simulation;
 import org.cottontack.core.task.TaskPhase;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -29,7 +29,7 @@
   /** A simulation with two entry instances, four endpoints and four workers. */
   public abstract static class TwoInstances {
 
-    Simulation lab;
+    Simulation simulation;
     Node first;
     Node second;
     List<FakeEndpoint> endpoints;
@@ -37,13 +37,14 @@
     /** Starts the simulation and waits until all workers and endpoints are owned. */
     @BeforeMethod
     public void start() {
-      lab = new Simulation();
-      endpoints = List.of("e1", "e2", "e3", "e4").stream().map(n -> lab.endpoint(n, 2)).toList();
-      List.of("w1", "w2", "w3", "w4").forEach(name -> lab.worker(name, 8));
-      first = lab.start("a:1");
-      second = lab.start("b:1");
-      lab.until("all is owned", () -> slots(first) + slots(second) == 8);
-      lab.run(2_000);
+      simulation = new Simulation();
+      endpoints =
+          List.of("e1", "e2", "e3", "e4").stream().map(n -> simulation.endpoint(n, 2)).toList();
+      List.of("w1", "w2", "w3", "w4").forEach(name -> simulation.worker(name, 8));
+      first = simulation.start("a:1");
+      second = simulation.start("b:1");
+      simulation.until("all is owned", () -> slots(first) + slots(second) == 8);
+      simulation.run(2_000);
     }
 
     static int slots(Node node) {
@@ -55,7 +56,7 @@
     }
 
     void assertNoViolations() {
-      assertEquals(lab.violations(), List.of());
+      assertEquals(simulation.violations(), List.of());
     }
   }
 
@@ -72,9 +73,9 @@
     /** A third instance acquires only its own share; the others keep the rest throughout. */
     @Test
     public void joiningMovesOnlyTheNewShare() {
-      Node third = lab.start("c:1");
-      lab.until("the third took a share", () -> slots(third) + workers(third) > 0);
-      lab.until("all is owned", () -> slots(first) + slots(second) + slots(third) == 8);
+      Node third = simulation.start("c:1");
+      simulation.until("the third took a share", () -> slots(third) + workers(third) > 0);
+      simulation.until("all is owned", () -> slots(first) + slots(second) + slots(third) == 8);
       assertEquals(workers(first) + workers(second) + workers(third), 4);
       assertNoViolations();
     }
@@ -91,9 +92,10 @@
     @Test
     public void survivorTakesOver() {
       first.kill();
-      lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
-      RequestId id = lab.request(second, "check", "", "after", 0);
-      lab.until("an answer", () -> second.answers.containsKey(id));
+      simulation.until(
+          "the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
+      RequestId id = simulation.request(second, "check", "", "after", 0);
+      simulation.until("an answer", () -> second.answers.containsKey(id));
       assertEquals(second.answers.get(id).code(), Code.OK);
       assertNoViolations();
     }
@@ -107,9 +109,9 @@
     public void successorsAtTheSameAddressesDoNotWait() {
       first.kill();
       second.kill();
-      Node third = lab.start("a:1");
-      Node fourth = lab.start("b:1");
-      lab.run(Simulation.LEASE);
+      Node third = simulation.start("a:1");
+      Node fourth = simulation.start("b:1");
+      simulation.run(Simulation.LEASE);
       assertEquals(slots(third) + slots(fourth), 8);
       assertNoViolations();
     }
@@ -128,14 +130,15 @@
     public void resumedOwnerGivesNoOrderAndRejoins() {
       final InstanceId old = first.state().ownership().self();
       first.pause();
-      lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
+      simulation.until(
+          "the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
       for (int i = 0; i < 12; i++) {
-        lab.submit(second, "t" + i, "reconcile");
+        simulation.submit(second, "t" + i, "reconcile");
       }
-      lab.run(1_000);
+      simulation.run(1_000);
       first.resume();
-      lab.request(first, "check", "", "to the sleeper", 0);
-      lab.run(20_000);
+      simulation.request(first, "check", "", "to the sleeper", 0);
+      simulation.run(20_000);
       assertNotEquals(first.state().ownership().self(), old);
       assertEquals(slots(first) + slots(second), 8);
       assertNoViolations();
@@ -148,22 +151,22 @@
      */
     @Test
     public void lateOrdersOfTheOldOwnerAreRefused() {
-      first.ordersHeld = true;
-      second.ordersHeld = true;
+      first.ordersWithheld = true;
+      second.ordersWithheld = true;
       for (int i = 0; i < 16; i++) {
-        lab.submit(i % 2 == 0 ? first : second, "t" + i, "reconcile");
+        simulation.submit(i % 2 == 0 ? first : second, "t" + i, "reconcile");
       }
-      lab.run(300);
+      simulation.run(300);
       first.pause();
-      second.ordersHeld = false;
-      lab.until("the other owns everything", () -> workers(second) == 4);
+      second.ordersWithheld = false;
+      simulation.until("the other owns everything", () -> workers(second) == 4);
       for (int i = 16; i < 32; i++) {
-        lab.submit(second, "t" + i, "reconcile");
+        simulation.submit(second, "t" + i, "reconcile");
       }
-      lab.run(5_000);
-      lab.releaseOrders();
+      simulation.run(5_000);
+      simulation.releaseOrders();
       first.resume();
-      lab.run(20_000);
+      simulation.run(20_000);
       assertNoViolations();
     }
   }
@@ -178,19 +181,19 @@
      */
     @Test
     public void promisesKeepRequestsAndTasksGoing() {
-      lab.submit(first, "long", "reconcile");
-      lab.until("the task runs", () -> lab.taskRuns("long"));
+      simulation.submit(first, "long", "reconcile");
+      simulation.until("the task runs", () -> simulation.taskRuns("long"));
       first.storeUp = false;
       second.storeUp = false;
-      lab.run(10 * Simulation.LEASE);
-      RequestId id = lab.request(first, "check", "", "in the outage", 0);
-      lab.run(500);
+      simulation.run(10 * Simulation.LEASE);
+      RequestId id = simulation.request(first, "check", "", "in the outage", 0);
+      simulation.run(500);
       assertEquals(first.answers.get(id).code(), Code.OK);
-      assertTrue(lab.taskRuns("long"), "the task's lease was renewed all along");
+      assertTrue(simulation.taskRuns("long"), "the task's lease was renewed all along");
       first.storeUp = true;
       second.storeUp = true;
-      lab.run(10_000);
-      assertTrue(lab.taskRuns("long"));
+      simulation.run(10_000);
+      assertTrue(simulation.taskRuns("long"));
       assertNoViolations();
     }
 
@@ -202,10 +205,10 @@
     public void promisesEndAtTheHorizon() {
       first.storeUp = false;
       second.storeUp = false;
-      lab.run(Simulation.HORIZON + Simulation.LEASE);
+      simulation.run(Simulation.HORIZON + Simulation.LEASE);
       assertFalse(first.state().ownership().mayAct(first.state().mono()));
-      RequestId id = lab.request(first, "check", "", "too late", 0);
-      lab.run(2_500);
+      RequestId id = simulation.request(first, "check", "", "too late", 0);
+      simulation.run(2_500);
       assertEquals(first.answers.get(id).code().ran(), Ran.NOT_RUN);
       assertNoViolations();
     }
@@ -220,13 +223,13 @@
     public void freshInstanceWaitsOutTheHorizon() {
       first.storeUp = false;
       second.storeUp = false;
-      Node fresh = lab.start("c:1");
-      lab.run(5 * Simulation.LEASE);
+      Node fresh = simulation.start("c:1");
+      simulation.run(5 * Simulation.LEASE);
       assertEquals(slots(fresh), 0);
       for (int i = 0; i < 8; i++) {
-        lab.request(i % 2 == 0 ? first : second, "check", "", "r" + i, 0);
+        simulation.request(i % 2 == 0 ? first : second, "check", "", "r" + i, 0);
       }
-      lab.run(Simulation.HORIZON + 3 * Simulation.LEASE);
+      simulation.run(Simulation.HORIZON + 3 * Simulation.LEASE);
       assertEquals(slots(fresh), 8);
       assertNoViolations();
     }
@@ -240,10 +243,10 @@
     public void isolatedInstanceStopsWithinItsLease() {
       first.storeUp = false;
       first.networkUp = false;
-      lab.until("the other owns everything", () -> slots(second) == 8);
+      simulation.until("the other owns everything", () -> slots(second) == 8);
       assertFalse(first.state().ownership().mayAct(first.state().mono()));
-      RequestId id = lab.request(first, "check", "", "cut", 0);
-      lab.run(2_500);
+      RequestId id = simulation.request(first, "check", "", "cut", 0);
+      simulation.run(2_500);
       assertEquals(first.answers.get(id).code().ran(), Ran.NOT_RUN);
       assertNoViolations();
     }
@@ -261,9 +264,9 @@
     public void promisesAreKept() {
       first.storeUp = false;
       for (int i = 0; i < 200; i++) {
-        lab.request(first, "check", "", "first " + i, 0);
-        lab.request(second, "check", "", "second " + i, 0);
-        lab.run(100);
+        simulation.request(first, "check", "", "first " + i, 0);
+        simulation.request(second, "check", "", "second " + i, 0);
+        simulation.run(100);
       }
       assertTrue(first.state().ownership().mayAct(first.state().mono()));
       assertTrue(slots(first) > 0 && slots(second) > 0 && slots(first) + slots(second) == 8);
@@ -277,17 +280,17 @@
      */
     @Test
     public void coverNeedsEveryPromise() {
-      Node third = lab.start("c:1");
-      lab.until("shared", () -> slots(first) + slots(second) + slots(third) == 8);
-      lab.run(2_000);
-      lab.disconnect(first, third);
+      Node third = simulation.start("c:1");
+      simulation.until("shared", () -> slots(first) + slots(second) + slots(third) == 8);
+      simulation.run(2_000);
+      simulation.disconnect(first, third);
       first.storeUp = false;
       for (int i = 0; i < 200; i++) {
         for (Node node : List.of(first, second, third)) {
-          lab.request(node, "check", "", node.address() + i, 0);
-          lab.request(node, "check", "", node.address() + " again " + i, 0);
+          simulation.request(node, "check", "", node.address() + i, 0);
+          simulation.request(node, "check", "", node.address() + " again " + i, 0);
         }
-        lab.run(40);
+        simulation.run(40);
       }
       assertNoViolations();
     }
@@ -301,7 +304,7 @@
     public void newOwnerWaitsForRequestsInTransit() {
       for (int offset = 0; offset < 600; offset += 40) {
         start();
-        lab.run(offset);
+        simulation.run(offset);
         changeOwnerWithRequestsInTransit();
       }
     }
@@ -309,15 +312,15 @@
     /** At least one order lifetime passes between the barrier and the first use of a resource. */
     @Test
     public void gainsWaitOneOrderLifetime() {
-      Node third = lab.start("d:1");
-      lab.until(
+      Node third = simulation.start("d:1");
+      simulation.until(
           "the barrier has passed",
           () ->
               third.state().ownership().joinEpoch() > 0
                   && third.state().ownership().barrierEpoch()
                       == third.state().ownership().assignment().epoch());
       final long passed = third.state().mono();
-      lab.until("something is gained", () -> slots(third) + workers(third) > 0);
+      simulation.until("something is gained", () -> slots(third) + workers(third) > 0);
       assertTrue(third.state().mono() - passed >= 500);
     }
 
@@ -325,12 +328,12 @@
       first.orderDelay = 490;
       second.orderDelay = 490;
       endpoints.forEach(endpoint -> endpoint.millis = 300);
-      Node third = lab.start("d:1");
+      Node third = simulation.start("d:1");
       for (int i = 0; i < 700; i++) {
         for (Node node : List.of(first, second, third)) {
-          lab.request(node, "check", "", node.address() + i, 0);
+          simulation.request(node, "check", "", node.address() + i, 0);
         }
-        lab.run(5);
+        simulation.run(5);
       }
       assertTrue(slots(third) > 0);
       assertNoViolations();
@@ -347,13 +350,14 @@
      */
     @Test
     public void finishesWhatIsInFlight() {
-      final RequestId id = lab.request(first, "check", "", "in flight", 0);
+      final RequestId id = simulation.request(first, "check", "", "in flight", 0);
       first.accept(new OwnershipEvent.StopAsked());
-      RequestId late = lab.request(first, "check", "", "late", 0);
+      RequestId late = simulation.request(first, "check", "", "late", 0);
       assertEquals(first.answers.get(late).code(), Code.LEAVING);
-      lab.until("it has left", () -> lab.store().scan("own/dc/lease/a:1").isEmpty());
+      simulation.until("it has left", () -> simulation.store().scan("own/dc/lease/a:1").isEmpty());
       assertEquals(first.answers.get(id).code(), Code.OK);
-      lab.until("the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
+      simulation.until(
+          "the other owns everything", () -> slots(second) == 8 && workers(second) == 4);
       assertNoViolations();
     }
 
@@ -363,25 +367,25 @@
      * being lost.
      */
     @Test
-    public void handedOverRequestsAreNotLost() {
+    public void forwardedRequestsAreNotLost() {
       for (int offset = 0; offset < 100; offset += 2) {
         start();
-        lab.run(offset);
-        leaveWhileRequestsAreHandedOver();
+        simulation.run(offset);
+        leaveWhileRequestsAreForwarded();
       }
     }
 
-    private void leaveWhileRequestsAreHandedOver() {
+    private void leaveWhileRequestsAreForwarded() {
       endpoints.forEach(endpoint -> endpoint.millis = 30);
       for (int i = 0; i < 200; i++) {
-        lab.request(first, "check", "", "a" + i, 0);
-        lab.request(first, "transfer", "k" + i, "once " + i, 0);
+        simulation.request(first, "check", "", "a" + i, 0);
+        simulation.request(first, "transfer", "k" + i, "once " + i, 0);
         if (i == 100) {
           second.accept(new OwnershipEvent.StopAsked());
         }
-        lab.run(5);
+        simulation.run(5);
       }
-      lab.run(5_000);
+      simulation.run(5_000);
       assertEquals(
           first.answers.values().stream().filter(a -> a.code().ran() == Ran.UNKNOWN).toList(),
           List.of());
@@ -391,13 +395,13 @@
     /** Tasks continue to run in their first attempt while their owner is replaced. */
     @Test
     public void tasksOutliveTheirOwner() {
-      lab.submit(first, "t", "reconcile");
-      lab.until("the task runs", () -> lab.taskRuns("t"));
+      simulation.submit(first, "t", "reconcile");
+      simulation.until("the task runs", () -> simulation.taskRuns("t"));
       first.accept(new OwnershipEvent.StopAsked());
-      lab.run(15_000);
-      assertTrue(lab.taskIs("t", TaskPhase.PLACED));
-      assertEquals(lab.task("t").attempt(), 1);
-      assertTrue(lab.taskRuns("t"));
+      simulation.run(15_000);
+      assertTrue(simulation.taskIs("t", TaskPhase.PLACED));
+      assertEquals(simulation.task("t").attempt(), 1);
+      assertTrue(simulation.taskRuns("t"));
     }
   }
 
@@ -411,19 +415,19 @@
      */
     @Test
     public void recordedButNeverStartedAttemptIsPlacedAgain() {
-      first.ordersHeld = true;
-      second.ordersHeld = true;
-      lab.submit(first, "t", "reconcile");
-      lab.until("it is recorded", () -> lab.taskIs("t", TaskPhase.PLACED));
-      lab.run(50);
+      first.ordersWithheld = true;
+      second.ordersWithheld = true;
+      simulation.submit(first, "t", "reconcile");
+      simulation.until("it is recorded", () -> simulation.taskIs("t", TaskPhase.PLACED));
+      simulation.run(50);
       Node owner = first.state().tasks().tasks().isEmpty() ? second : first;
       Node other = owner == first ? second : first;
       owner.kill();
-      other.ordersHeld = false;
-      lab.until("it runs", () -> lab.taskRuns("t"));
-      assertEquals(lab.task("t").attempt(), 2);
-      lab.releaseOrders();
-      lab.run(5_000);
+      other.ordersWithheld = false;
+      simulation.until("it runs", () -> simulation.taskRuns("t"));
+      assertEquals(simulation.task("t").attempt(), 2);
+      simulation.releaseOrders();
+      simulation.run(5_000);
       assertNoViolations();
     }
 
@@ -435,21 +439,21 @@
     @Test
     public void nothingIsPlacedBeforeTheRecordsAreRead() {
       for (int i = 0; i < 30; i++) {
-        lab.submit(i % 2 == 0 ? first : second, "t" + i, "reconcile");
+        simulation.submit(i % 2 == 0 ? first : second, "t" + i, "reconcile");
       }
-      lab.run(5_000);
+      simulation.run(5_000);
       second.scanDelay = 1_500;
       first.kill();
-      lab.until("the other owns everything", () -> workers(second) == 4);
-      lab.run(10_000);
+      simulation.until("the other owns everything", () -> workers(second) == 4);
+      simulation.run(10_000);
       assertNoViolations();
     }
 
     /** A worker that is added later is acquired without a change of members. */
     @Test
     public void newWorkersAreAcquired() {
-      FakeWorker added = lab.worker("w9", 64);
-      lab.until("it is owned", () -> workers(first) + workers(second) == 5);
+      FakeWorker added = simulation.worker("w9", 64);
+      simulation.until("it is owned", () -> workers(first) + workers(second) == 5);
       assertEquals(added.started(), List.of());
     }
   }
--- a/core/src/test/java/org/cottontack/core/request/RequestTest.java
+++ b/core/src/test/java/org/cottontack/core/request/RequestTest.java
@@ -11,12 +11,12 @@
 import org.cottontack.core.id.InstanceId;
 import org.cottontack.core.id.RequestId;
 import org.cottontack.core.id.RowName;
-import org.cottontack.core.lab.FakeEndpoint;
-import org.cottontack.core.lab.Node;
-import org.cottontack.core.lab.Simulation;
 import org.cottontack.core.peer.Payload;
 import org.cottontack.core.peer.PeerEvent;
 import org.cottontack.core.peer.PeerMessage;
+import org.cottontack.core.simulation.FakeEndpoint;
+import org.cottontack.core.simulation.Node;
+import org.cottontack.core.simulation.Simulation;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -207,8 +207,9 @@
     }
 
     /**
-     * If an endpoint runs a transfer and its answer is lost, the caller is told at once that the
-     * outcome is unknown. Neither the instance nor a retry of the caller runs the transfer again.
+     * If an endpoint runs a transfer and its answer is lost, the caller is informed at once that
+     * the outcome is unknown. Neither the instance nor a retry of the caller runs the transfer
+     * again.
      */
     @Test
     public void lostAnswerIsUnknownAndNotRetried() {
@@ -237,9 +238,9 @@
     }
 
     /**
-     * The claim takes effect but the store's answer is lost until after the deadline. The caller is
-     * told "not run", which is true because the request is never sent. The claim is released, so
-     * that a retry runs, once.
+     * The claim takes effect but the store's answer is lost until after the deadline. The caller
+     * gets the outcome "not run", which is true because the request is never sent. The claim is
+     * released, so that a retry runs, once.
      */
     @Test
     public void claimWithoutAnswerIsReleased() {
@@ -257,8 +258,8 @@
     }
 
     /**
-     * If the deadline comes while an endpoint has the request, the caller is told at once that the
-     * outcome is unknown. "Not run" would be false, because the request completes soon after.
+     * If the deadline comes while an endpoint has the request, the caller is informed at once that
+     * the outcome is unknown. "Not run" would be false, because the request completes soon after.
      */
     @Test
     public void deadlineAtTheEndpointLeavesOutcomeUnknown() {
--- a/core/src/test/java/org/cottontack/core/lab/FakeStore.java
+++ b/core/src/test/java/org/cottontack/core/simulation/FakeStore.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import java.util.List;
 import java.util.Optional;
@@ -16,7 +16,8 @@
   private int commits;
 
   /**
-   * Commits writes if all their conditions hold; returns the conflicting rows, empty if they do.
+   * Commits writes if all their conditions hold, and returns the conflicting rows, or an empty list
+   * if the writes were committed.
    */
   public List<StoreRow> commit(List<Write> writes) {
     List<StoreRow> conflicts =
--- a/core/src/test/java/org/cottontack/core/lab/FakeWorker.java
+++ b/core/src/test/java/org/cottontack/core/simulation/FakeWorker.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -104,13 +104,13 @@
   }
 
   private void checkCapacity() {
-    Demand held =
+    Demand used =
         runs.values().stream()
             .filter(run -> run.status == RunReport.Status.RUNNING)
             .map(run -> run.demand)
             .reduce(Demand.NONE, Demand::plus);
-    if (!held.fitsIn(capacity)) {
-      simulation.violation(name + " holds " + held + " of " + capacity);
+    if (!used.fitsIn(capacity)) {
+      simulation.violation(name + " holds " + used + " of " + capacity);
     }
   }
 
--- a/core/src/test/java/org/cottontack/core/lab/Node.java
+++ b/core/src/test/java/org/cottontack/core/simulation/Node.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -55,8 +55,10 @@
   /** Whether other entry instances, workers and endpoints can be reached. */
   public boolean networkUp = true;
 
-  /** Whether orders to workers and endpoints are held until they are released. */
-  public boolean ordersHeld;
+  /**
+   * Whether orders to workers and endpoints are withheld until {@link Simulation#releaseOrders}.
+   */
+  public boolean ordersWithheld;
 
   Node(Simulation simulation, Settings settings) {
     this.simulation = simulation;
--- a/core/src/test/java/org/cottontack/core/lab/Simulation.java
+++ b/core/src/test/java/org/cottontack/core/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -66,23 +66,24 @@
   private static final long LATENCY = 2;
   private static final DataCentreId DATA_CENTRE = new DataCentreId("dc");
 
-  private record ScheduledAction(long at, long order, Runnable action) {}
+  private record ScheduledAction(long at, long sequence, Runnable action) {}
 
   private final PriorityQueue<ScheduledAction> queue =
       new PriorityQueue<>(
-          Comparator.comparingLong(ScheduledAction::at).thenComparingLong(ScheduledAction::order));
+          Comparator.comparingLong(ScheduledAction::at)
+              .thenComparingLong(ScheduledAction::sequence));
   private final List<Node> nodes = new ArrayList<>();
   private final Map<String, FakeWorker> workers = new LinkedHashMap<>();
   private final Map<String, FakeEndpoint> endpoints = new LinkedHashMap<>();
-  private final Map<String, Boolean> markLeaving = new TreeMap<>();
+  private final Map<String, Boolean> leaving = new TreeMap<>();
   private final Map<String, Integer> requestRuns = new TreeMap<>();
   private final List<String> violations = new ArrayList<>();
-  private final List<Runnable> heldOrders = new ArrayList<>();
+  private final List<Runnable> withheldOrders = new ArrayList<>();
   private final Set<Set<String>> disconnected = new HashSet<>();
   private final FakeStore store = new FakeStore();
   private long now;
-  private long order;
-  private long numbers;
+  private long nextSequence;
+  private long lastNumber;
 
   /** Creates a data centre whose store already contains a table. */
   public Simulation() {
@@ -113,7 +114,7 @@
 
   /** Starts an entry instance at an address. */
   public Node start(String address) {
-    InstanceId self = new InstanceId(address + "-" + ++numbers);
+    InstanceId self = new InstanceId(address + "-" + ++lastNumber);
     Settings settings =
         new Settings(self, DATA_CENTRE, address, LEASE, 300, HORIZON, 500, TASK_LEASE, 10, 1_000);
     Node node = new Node(this, settings);
@@ -124,7 +125,7 @@
 
   /** Marks a worker or an endpoint as leaving. */
   public void markLeaving(String name) {
-    markLeaving.put(name, true);
+    leaving.put(name, true);
   }
 
   /** Returns the store. */
@@ -199,19 +200,19 @@
 
   /** Schedules an action after a delay in virtual time. */
   public void after(long millis, Runnable action) {
-    queue.add(new ScheduledAction(now + millis, order++, action));
+    queue.add(new ScheduledAction(now + millis, nextSequence++, action));
   }
 
-  /** Delivers the held orders to workers and endpoints. */
+  /** Delivers the withheld orders to workers and endpoints. */
   public void releaseOrders() {
-    List<Runnable> orders = List.copyOf(heldOrders);
-    heldOrders.clear();
+    List<Runnable> orders = List.copyOf(withheldOrders);
+    withheldOrders.clear();
     orders.forEach(Runnable::run);
   }
 
   /** Sends a request; its answer will be among the node's answers. */
   public RequestId request(Node node, String row, String key, String body, long millis) {
-    RequestId id = new RequestId(++numbers);
+    RequestId id = new RequestId(++lastNumber);
     node.accept(
         new RequestEvent.Arrived(
             id,
@@ -226,7 +227,7 @@
 
   /** Submits a task; the answer will be among the node's tickets. */
   public long submit(Node node, String task, String row) {
-    long ticket = ++numbers;
+    long ticket = ++lastNumber;
     node.accept(
         new TaskEvent.SubmitAsked(ticket, new TaskId(task), new RowName(row), "input", null));
     return ticket;
@@ -234,7 +235,7 @@
 
   /** Cancels a task; the answer will be among the node's tickets. */
   public long cancel(Node node, String task) {
-    long ticket = ++numbers;
+    long ticket = ++lastNumber;
     node.accept(new TaskEvent.CancelAsked(ticket, new TaskId(task)));
     return ticket;
   }
@@ -288,12 +289,12 @@
   }
 
   /**
-   * Sends an order. It may be held until {@link #releaseOrders}, and it arrives even if its sender
-   * no longer exists.
+   * Sends an order. It may be withheld until {@link #releaseOrders}, and it arrives even if its
+   * sender no longer exists.
    */
   void order(Node node, Runnable arrival) {
-    if (node.ordersHeld) {
-      heldOrders.add(arrival);
+    if (node.ordersWithheld) {
+      withheldOrders.add(arrival);
     } else {
       after(node.orderDelay, arrival);
     }
@@ -382,8 +383,8 @@
    * Returns the event for a message that was not received. A message that was sent before the
    * connection broke may have arrived. A message for which there was no connection was not sent.
    */
-  private static Event notReceived(PeerEffect.Send send, boolean left) {
-    return left
+  private static Event notReceived(PeerEffect.Send send, boolean wasSent) {
+    return wasSent
         ? new PeerEvent.Lost(send.address())
         : new PeerEvent.Undelivered(send.address(), send.message());
   }
@@ -414,7 +415,7 @@
 
   private MemberInfo member(MemberKind kind, String name, int slots, Demand capacity) {
     return new MemberInfo(
-        kind, name, DATA_CENTRE, name, markLeaving.containsKey(name), slots, capacity, "rack");
+        kind, name, DATA_CENTRE, name, leaving.containsKey(name), slots, capacity, "rack");
   }
 
   /** Returns a report event with the current state of a worker. */
--- a/core/src/test/java/org/cottontack/core/lab/SimulationOrders.java
+++ b/core/src/test/java/org/cottontack/core/simulation/SimulationOrders.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import org.cottontack.core.Effect;
 import org.cottontack.core.fleet.FleetEffect;
--- a/core/src/test/java/org/cottontack/core/lab/SimulationTable.java
+++ b/core/src/test/java/org/cottontack/core/simulation/SimulationTable.java
@@ -1,4 +1,4 @@
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
 
 import java.util.List;
 import org.cottontack.core.id.RowName;
--- a/core/src/test/java/org/cottontack/core/lab/package-info.java
+++ b/core/src/test/java/org/cottontack/core/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** Simulated ports and a virtual clock, for tests of the real reducer. */
-package org.cottontack.core.lab;
+package org.cottontack.core.simulation;
--- a/core/src/test/java/org/cottontack/core/table/TableTest.java
+++ b/core/src/test/java/org/cottontack/core/table/TableTest.java
@@ -4,10 +4,10 @@
 import static org.testng.Assert.assertTrue;
 
 import java.util.List;
-import org.cottontack.core.lab.Node;
-import org.cottontack.core.lab.Simulation;
-import org.cottontack.core.lab.SimulationTable;
 import org.cottontack.core.request.Code;
+import org.cottontack.core.simulation.Node;
+import org.cottontack.core.simulation.Simulation;
+import org.cottontack.core.simulation.SimulationTable;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -19,17 +19,17 @@
   /** A simulation with two entry instances. */
   public abstract static class TwoInstances {
 
-    Simulation lab;
+    Simulation simulation;
     Node first;
     Node second;
 
     /** Starts both instances. */
     @BeforeMethod
     public void start() {
-      lab = new Simulation();
-      first = lab.start("a:1");
-      second = lab.start("b:1");
-      lab.run(5_000);
+      simulation = new Simulation();
+      first = simulation.start("a:1");
+      second = simulation.start("b:1");
+      simulation.run(5_000);
     }
 
     static void edit(Node node, long ticket, long expected, int limit) {
@@ -50,7 +50,7 @@
     @Test
     public void reachesEveryInstance() {
       edit(first, 1, 1, 7);
-      lab.run(3_000);
+      simulation.run(3_000);
       assertEquals(first.edits.get(1L).verdict(), TableEffect.Verdict.ACCEPTED);
       assertEquals(version(second), 2);
       assertEquals(second.state().table().record().content().rows().get(0).maxInFlight(), 7);
@@ -65,7 +65,7 @@
     public void oneOfTwoConcurrentEditsWins() {
       edit(first, 1, 1, 7);
       edit(second, 2, 1, 8);
-      lab.run(3_000);
+      simulation.run(3_000);
       List<TableEffect.Verdict> verdicts =
           List.of(first.edits.get(1L).verdict(), second.edits.get(2L).verdict());
       assertTrue(verdicts.contains(TableEffect.Verdict.ACCEPTED), verdicts.toString());
@@ -83,9 +83,9 @@
     public void lostAnswerDoesNotRepeatTheEdit() {
       first.storeAnswers = false;
       edit(first, 1, 1, 7);
-      lab.run(1_000);
+      simulation.run(1_000);
       first.storeAnswers = true;
-      lab.run(3_000);
+      simulation.run(3_000);
       assertEquals(first.edits.get(1L).verdict(), TableEffect.Verdict.ACCEPTED);
       assertEquals(version(second), 2);
     }
@@ -113,13 +113,13 @@
       second.storeUp = false;
       second.networkUp = false;
       edit(first, 1, 1, 7);
-      lab.run(10_000);
+      simulation.run(10_000);
       assertEquals(version(second), 1);
       long age = second.state().mono() - second.state().table().confirmedAt();
       assertTrue(age >= 9_000, "age " + age);
       second.storeUp = true;
       second.networkUp = true;
-      lab.run(3_000);
+      simulation.run(3_000);
       assertEquals(version(second), 2);
     }
 
@@ -127,12 +127,12 @@
     @Test
     public void lateReadsDoNotRevert() {
       second.scanDelay = 6_000;
-      lab.run(2_100);
+      simulation.run(2_100);
       second.scanDelay = 2;
       edit(first, 1, 1, 7);
-      lab.run(3_000);
+      simulation.run(3_000);
       assertEquals(version(second), 2);
-      lab.run(6_000);
+      simulation.run(6_000);
       assertEquals(version(second), 2);
     }
 
@@ -142,15 +142,15 @@
      */
     @Test
     public void lateContentDoesNotRevert() {
-      final Node fresh = lab.start("c:1");
-      lab.run(5);
+      final Node fresh = simulation.start("c:1");
+      simulation.run(5);
       fresh.scanDelay = 6_000;
-      lab.run(2);
+      simulation.run(2);
       fresh.scanDelay = 2;
       edit(first, 1, 1, 7);
-      lab.run(4_000);
+      simulation.run(4_000);
       assertEquals(version(fresh), 2);
-      lab.run(6_000);
+      simulation.run(6_000);
       assertEquals(version(fresh), 2);
     }
 
@@ -158,15 +158,15 @@
     @Test
     public void freshProcessWaitsForTheTable() {
       edit(first, 1, 1, 7);
-      lab.run(1_000);
-      Node fresh = lab.start("c:1");
+      simulation.run(1_000);
+      Node fresh = simulation.start("c:1");
       fresh.storeUp = false;
-      lab.run(1_000);
+      simulation.run(1_000);
       assertEquals(version(fresh), 0);
-      var id = lab.request(fresh, "check", "", "x", 0);
+      var id = simulation.request(fresh, "check", "", "x", 0);
       assertEquals(fresh.answers.get(id).code(), Code.NO_TABLE);
       fresh.storeUp = true;
-      lab.run(5_000);
+      simulation.run(5_000);
       assertEquals(version(fresh), 2);
     }
   }
--- a/core/src/test/java/org/cottontack/core/task/TaskTest.java
+++ b/core/src/test/java/org/cottontack/core/task/TaskTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.cottontack.core.id.RowName;
 import org.cottontack.core.id.TaskId;
-import org.cottontack.core.lab.FakeWorker;
-import org.cottontack.core.lab.Node;
-import org.cottontack.core.lab.Simulation;
+import org.cottontack.core.simulation.FakeWorker;
+import org.cottontack.core.simulation.Node;
+import org.cottontack.core.simulation.Simulation;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
--- a/ctl/src/main/java/org/cottontack/ctl/explain/JobHistory.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/JobHistory.java
@@ -19,8 +19,11 @@
 
   /** The kind of work of a job. */
   enum Kind {
+    /** Neither best-effort nor long-running. */
     SHORT,
+    /** Best-effort. */
     FILLING,
+    /** Long-running. */
     LASTING
   }
 
@@ -107,7 +110,8 @@
   }
 
   /**
-   * Returns the run of a step that was done last with the name of its task, or empty if none was.
+   * Returns the run of a step that was completed last, with the name of its task, or empty if no
+   * run of the step was completed.
    */
   Optional<Map.Entry<String, RunHistory>> lastDone(int step) {
     return runs.entrySet().stream()
--- a/ctl/src/main/java/org/cottontack/ctl/explain/RunHistory.java
+++ b/ctl/src/main/java/org/cottontack/ctl/explain/RunHistory.java
@@ -5,10 +5,15 @@
 
   /** The status of a run. */
   enum Status {
+    /** No log line read so far reports its end. */
     OPEN(Cause.LOST_WORKER),
+    /** It ran to completion. */
     DONE(Cause.WORK),
+    /** It failed. */
     FAILED(Cause.FAILED),
+    /** It was stopped before it was done. */
     STOPPED(Cause.MOVED),
+    /** It was lost, with its worker or because the worker no longer listed it. */
     GONE(Cause.LOST_WORKER);
 
     private final Cause cause;
--- a/standin/src/main/java/org/cottontack/standin/worker/WorkerStandIn.java
+++ b/standin/src/main/java/org/cottontack/standin/worker/WorkerStandIn.java
@@ -118,13 +118,13 @@
     runs.add(run);
     ledger.taskStarted(
         order.task().value(), order.attempt(), name, Reconcile.once(order.input()), now);
-    Demand held =
+    Demand used =
         runs.stream()
             .filter(StandInRun::running)
             .map(r -> r.order().demand())
             .reduce(Demand.NONE, Demand::plus);
-    if (!held.fitsIn(capacity)) {
-      ledger.capacityExceeded(name, held + " of " + capacity);
+    if (!used.fitsIn(capacity)) {
+      ledger.capacityExceeded(name, used + " of " + capacity);
     }
   }
 
--- a/standin/src/test/java/org/cottontack/standin/FreePortsTest.java
+++ b/standin/src/test/java/org/cottontack/standin/FreePortsTest.java
@@ -13,7 +13,7 @@
 public class FreePortsTest {
 
   /** Far more ports than one run of the tests allocates. */
-  private static final int DRAWS = 2_000;
+  private static final int ALLOCATIONS = 2_000;
 
   /** Lowest port that the system assigns to outgoing connections. */
   private static final int FIRST_EPHEMERAL = 32_768;
@@ -23,9 +23,10 @@
 
     @Test
     public void returnsNoPortTwice() {
-      List<Integer> ports = IntStream.range(0, DRAWS).map(i -> FreePorts.next()).boxed().toList();
+      List<Integer> ports =
+          IntStream.range(0, ALLOCATIONS).map(i -> FreePorts.next()).boxed().toList();
       Set<Integer> distinct = new HashSet<>(ports);
-      assertEquals(distinct.size(), DRAWS);
+      assertEquals(distinct.size(), ALLOCATIONS);
     }
 
     @Test
--- a/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
+++ b/standin/src/test/java/org/cottontack/standin/ProcessesTest.java
@@ -376,8 +376,8 @@
   public static final class LedgerDetection {
 
     /**
-     * The shared store is left out as a safeguard: two schedulers share endpoints but use separate
-     * stores. Both then fill the same slots, and the ledger has to report it.
+     * Leaves out the safeguard of a shared store: two schedulers use the same endpoints but
+     * separate stores. Both then fill the same slots, and the ledger has to report it.
      */
     @Test
     public void twoSchedulersWithoutSharedStore() {
--- a/wire/src/main/java/org/cottontack/wire/JobCodec.java
+++ b/wire/src/main/java/org/cottontack/wire/JobCodec.java
@@ -41,9 +41,8 @@
     try {
       StoredJob stored = StoredJob.parseFrom(bytes);
       if (stored.getStepsCount() == 0) {
-        // An empty byte array is a valid protobuf message. Accepted as a job without steps, it
-        // would
-        // wait forever.
+        // An empty byte array is a valid protobuf message. If it were accepted as a job without
+        // steps, the job would wait forever.
         throw new IllegalArgumentException("the job has no steps");
       }
       StoredSchedule schedule = stored.getSchedule();
