--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Builds what runs on the platform into target/deploy, with an archive of loaded classes that
-# shortens the start of a process.
+# Builds the deployment into target/deploy: the jars, and a class data sharing archive that shortens
+# the start of a process.
 set -eu
 cd "$(dirname "$0")/.."
 mvn -q -B -DskipTests -Dcheckstyle.skip -Dspotless.check.skip -pl platform -am package
@@ -10,8 +10,8 @@
 cp platform/target/lib/*.jar "$out/lib/"
 cp platform/target/cottontack-platform-*.jar "$out/cottontack.jar"
 
-# One short run names the classes that a start loads; all of the product's own and of the histograms
-# are added, since the run has no store and no workers to talk to. Its "store" is its own readiness page.
+# A short run lists the classes that a start loads. All classes of the product and of HdrHistogram are
+# added, because that run reaches no store and no workers. Its store address is its own readiness page.
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 cat > "$work/settings.yaml" <<'S'
--- a/proofs/run.sh
+++ b/proofs/run.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# Takes out one safeguard at a time in a copy of the workspace, runs the core's tests there, and
-# prints which tests notice. Tests listed in KNOWN-RED.txt notice nothing: they fail anyway. Exit
-# code 0 when every removal is noticed, 2 when the tests of the copy could not be run.
+# Removes one safeguard at a time in a copy of the workspace, runs the tests of core there and prints
+# which tests detect the removal. Tests listed in KNOWN-RED.txt do not count, because they fail anyway.
+# Exit code 0 when every removal is detected, 2 when the tests of the copy could not be run, else 1.
 #   proofs/run.sh            all safeguards
-#   proofs/run.sh NAME ...   only these
+#   proofs/run.sh NAME ...   only the named ones
 set -u
 cd "$(dirname "$0")/.."
 ROOT=$(pwd)
@@ -15,7 +15,7 @@
 sed -i '/<module>/{/core/!d}' "$COPY/pom.xml"
 known=$(cut -f1 KNOWN-RED.txt 2>/dev/null)
 
-# Runs the tests of the copy; fails when none were run.
+# Runs the tests of the copy; fails when no test was run.
 run_tests() {
   (cd "$COPY" && mvn -B test -pl core -Dspotless.check.skip -Dcheckstyle.skip \
     -Dmaven.compiler.compilerArgs= >"$COPY/log" 2>&1)
@@ -36,7 +36,7 @@
   fi
   ran=true
   run_tests || ran=false
-  # The name of a test that runs on several data ends with their number and the first of them.
+  # The name of a test with a data provider ends with the number of the data row and its first value.
   test='org\.cottontack\.core\.[a-z]+\.[A-Za-z]+\$[A-Za-z]+\.[A-Za-z]+'
   noticed=$(grep -oE "$test(\\[[0-9]+\\]\\([^)]*\\))? --" "$COPY/log" |
     sed 's/org.cottontack.core.[a-z]*.//; s/[[].*//; s/ --//' | sort -u |
--- a/quickstart.sh
+++ b/quickstart.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Starts stand-ins and seven entry instances over four data centres as separate processes, runs one
-# request of each kind and one batch task to its end, prints the time line and stops everything.
-#   ./quickstart.sh          do all of that and exit 0
-#   ./quickstart.sh --keep   leave it running until interrupted
+# Starts the stand-ins and seven entry instances in four data centres as separate processes, runs one
+# request of each kind and one batch task to completion, prints the timeline and stops all processes.
+#   ./quickstart.sh          do all of this and exit with code 0
+#   ./quickstart.sh --keep   leave the processes running until interrupted
 set -u
 cd "$(dirname "$0")"
 KEEP=no
@@ -22,7 +22,8 @@
   exit 1
 }
 
-# The stand-ins come first in PIDS and are stopped last: leaving needs the platform's store.
+# The stand-ins are the first entry of PIDS and are stopped last, because an entry instance needs the
+# platform's store to leave.
 stop_all() {
   local i
   for ((i = ${#PIDS[@]} - 1; i > 0; i--)); do
--- a/spec/models/ownership.als
+++ b/spec/models/ownership.als
@@ -1,6 +1,7 @@
--- One worker with room for one task, entry instances that take it over from each other, orders that
--- are long under way. Time is abstract: a lease "lapses" and an order "expires" at any moment; what
--- the code gets by waiting is here a condition that the lapse or the expiry came first.
+-- One worker with capacity for one task, entry instances that take it over from each other, and
+-- orders that may be delayed for a long time. Time is abstract: a lease expires (lapse) or an order
+-- expires (expire) in any step. Where the code waits, the model has the condition that the lease or
+-- the order has expired first.
 module ownership
 
 abstract sig Safeguard {}
@@ -28,7 +29,7 @@
 pred ordersStay { Wire' = Wire and Expired' = Expired and Running' = Running and Sent' = Sent }
 pred ownersStay { Owner' = Owner and Believer' = Believer and Acting' = Acting }
 
--- The store gives the worker to another instance.
+-- The store assigns the worker to another instance.
 pred takeOver[i: Instance] {
   i not in Owner + Believer
   WaitForLapse in Present implies no Owner & Acting
@@ -39,7 +40,7 @@
   same[none]
 }
 
--- The new owner reads what the worker runs and may use it from then on.
+-- The new owner reads what the worker runs and may use the worker from then on.
 pred gain[i: Instance] {
   i in Owner and i not in Believer
   WaitForOrders in Present implies all o: Wire | o.by = i or o in Expired
@@ -50,7 +51,7 @@
   same[i]
 }
 
--- Time passes, or the instance was paused for long.
+-- The lease expires as time passes or while the instance is paused for a long time.
 pred lapse[i: Instance] {
   i in Acting
   Acting' = Acting - i
@@ -96,7 +97,7 @@
   same[none]
 }
 
--- A report frees what neither runs nor can still arrive.
+-- A report of the worker keeps the orders that run or may still arrive in time, and frees the others.
 pred report[i: Instance] {
   i in Believer and i in Owner
   i.busy' = i.busy & (Running + (Wire - Expired))
@@ -114,7 +115,7 @@
     or (some o: Order | arrive[o] or expire[o] or finish[o]))
 }
 
--- The worker never holds more than it can.
+-- The worker never runs more tasks than it has capacity for.
 pred promised { always lone Running }
 
 check holds { Present = Safeguard implies promised } for 3 but 3 Instance, 3 Order, 1..12 steps expect 0
--- a/spec/models/promises.als
+++ b/spec/models/promises.als
@@ -1,6 +1,6 @@
--- Cover by promises while the store is away. Two members of epoch 1; a third joins in epoch 2. A
--- member acts while its store lease holds or while all other members of its epoch promised. The
--- third, or either member, may remove a silent one.
+-- Cover by promises while the store is unavailable. Epoch 1 has two members; a third joins in
+-- epoch 2. A member acts while its lease in the store is valid or while it has the promises of all
+-- other members of its epoch. Any of the three may remove a silent member.
 module promises
 
 abstract sig Safeguard {}
@@ -12,15 +12,15 @@
 
 sig Instance {
   var seen: lone Epoch,          -- the epoch it acts under
-  var promised: set Instance,    -- promises it gave that may still hold
-  var removed: set Instance      -- members it removed itself
+  var promised: set Instance,    -- members to which its promises may still be in force
+  var removed: set Instance      -- members that it removed itself
 }
 sig Old in Instance {}           -- members of both epochs
-one sig Fresh extends Instance {}-- member of the second only
+one sig Fresh extends Instance {}-- member of the second epoch only
 
 var sig Joined in Fresh {}       -- the second epoch exists
-var sig Leased in Instance {}    -- lease in the store holds, by the holder's clock
-var sig Silent in Instance {}    -- the store has seen no renewal for a lease time
+var sig Leased in Instance {}    -- its lease in the store is valid by its own clock
+var sig Silent in Instance {}    -- the store has received no renewal for one lease time
 var sig Cover in Instance {}     -- covered by promises
 var sig HorizonOver in Instance {}
 var sig Revoked in Instance {}
@@ -50,8 +50,8 @@
   Silent' = Silent and coverStays and removalsStay
 }
 
--- A member sees the second epoch and acknowledges it; it needs the store for that. What members of
--- the first epoch promised counts no more: the second has a member that was not asked.
+-- A member reads the second epoch and acknowledges it, which requires the store. The promises of the
+-- members of the first epoch no longer count, because the second has a member that was not asked.
 pred ack[i: Instance] {
   some Joined and i.seen = First and i in Leased
   seen' = seen ++ i->Second
@@ -66,7 +66,7 @@
   viewsStay and Silent' = Silent and coverStays and removalsStay
 }
 
--- An observer's wait ends after the lease of the observed has ended.
+-- An observer's wait for a renewal ends after the lease of the observed member has expired.
 pred fallSilent[i: Instance] {
   some i.seen and i not in Leased + Silent
   Silent' = Silent + i
@@ -74,7 +74,7 @@
 }
 
 pred promise[p, i: Instance] {
-  -- a removal by somebody else may not be known here yet
+  -- p may not know yet that another member has removed i
   p != i and p not in Revoked and i not in p.removed and some i.seen
   p in others[i]
   SameEpoch in Present implies p.seen = i.seen
@@ -91,7 +91,7 @@
   viewsStay and leasesStay and promised' = promised and HorizonOver' = HorizonOver and removalsStay
 }
 
--- A promise lasts, by the clock of who gave it, longer than the cover it was given for.
+-- A promise lasts longer, by the clock of the member that gave it, than the cover it was given for.
 pred promiseEnds[p, i: Instance] {
   i in p.promised and i not in Cover
   promised' = promised - p->i
@@ -104,7 +104,7 @@
   viewsStay and leasesStay and promised' = promised and HorizonOver' = HorizonOver and removalsStay
 }
 
--- The horizon since the last renewal is over; with the bound no cover reaches beyond it.
+-- The horizon since the last renewal has passed. With the bound, no cover extends beyond it.
 pred horizonEnds[i: Instance] {
   i not in HorizonOver + Leased
   Bounded in Present implies i not in Cover
@@ -112,7 +112,7 @@
   viewsStay and leasesStay and Cover' = Cover and promised' = promised and removalsStay
 }
 
--- Whether r was a member of the epoch that i acknowledged.
+-- True if r is a member of the epoch that i acknowledged, so i needs the promise of r.
 pred mustAsk[i, r: Instance] { r in Old or i.seen = Second }
 
 pred revoke[r, i: Instance] {
@@ -134,7 +134,7 @@
     or (some p, i: Instance | promise[p, i] or promiseEnds[p, i] or revoke[p, i]))
 }
 
--- Nobody acts whose share was given to others.
+-- No member acts after its share was assigned to others.
 pred promisedAll { always no Revoked & (Leased + Cover) }
 
 check holds { Present = Safeguard implies promisedAll } for 3 but exactly 3 Instance, 1..10 steps expect 0
--- a/spec/models/request.als
+++ b/spec/models/request.als
@@ -1,5 +1,5 @@
 -- One non-idempotent request under one key, sent by its caller to several entry instances. The claim
--- row in the store is written conditionally; answers of store and endpoint may be lost or late.
+-- row in the store is written conditionally. Responses of store and endpoint may be lost or late.
 module request
 
 abstract sig Safeguard {}
@@ -14,7 +14,7 @@
 one sig Store { var row: one Row, var holder: lone Instance }
 sig Run { by: one Instance }
 
-var sig Writing in Instance {}  -- its claim may still take effect
+var sig Writing in Instance {}  -- its write of the claim may still take effect
 var sig Wire in Run {}
 var sig Ran in Run {}
 var sig Sent in Run {}
@@ -38,7 +38,7 @@
   storeStays and wireStays
 }
 
--- The claim takes effect at the store, perhaps long after its instance gave the request up.
+-- The claim takes effect in the store, possibly long after its instance abandoned the request.
 pred commit[i: Instance] {
   i in Writing
   ConditionalClaim in Present implies Store.row in Absent + Released
@@ -66,7 +66,7 @@
   storeStays and wireStays and Writing' = Writing
 }
 
--- The claim of a request that was given up is given back.
+-- The claim of an abandoned request is released.
 pred release[i: Instance] {
   i.phase = Closed and Store.holder = i and Store.row = Claimed
   ReleaseOnlyUnsent in Present implies (i.said = SaidNotRun and no by.i & Sent)
@@ -94,7 +94,7 @@
   holder' = holder and wireStays and Writing' = Writing
 }
 
--- The answer is lost or late.
+-- The response of the endpoint is lost or late.
 pred lost[i: Instance] {
   i.phase = AtEndpoint
   NoResend in Present
--- a/spec/models/table.als
+++ b/spec/models/table.als
@@ -1,4 +1,4 @@
--- Operators edit one table; entry instances read it, late answers included, and are replaced.
+-- Operators edit one table. Entry instances read it, also from late responses, and are replaced.
 module table
 open util/ordering[Version]
 
@@ -33,7 +33,7 @@
   base' = base and instancesStay
 }
 
--- A read sees the table as it is; its answer may come much later.
+-- A read returns the current version of the table; its response may arrive much later.
 pred read[i: Instance] {
   answers' = answers + i->Store.current
   seen' = seen and operatorsStay and current' = current
--- a/spec/models/task.als
+++ b/spec/models/task.als
@@ -1,5 +1,5 @@
--- One task, its record, attempts on workers. Start orders are long under way or lost, workers fall
--- silent, evictions and cancellations come at any moment.
+-- One task, its record and its attempts on workers. Start orders may be delayed for a long time or
+-- lost, workers may become unreachable, and evictions and cancellations may happen at any moment.
 module task
 open util/ordering[Attempt]
 
@@ -35,7 +35,7 @@
   Ended' = Ended and wireStays and workStays
 }
 
--- The start order; without the safeguard it leaves before the write is known to have taken effect.
+-- The start order. Without RecordFirst, it is sent before the write is known to have taken effect.
 pred order[a: Attempt] {
   RecordFirst in Present implies a in Record.placed else a in Record.placed + (Attempt - Used)
   a not in Wire + Expired + Running + Finished
@@ -63,26 +63,26 @@
   recordStays and wireStays
 }
 
--- Stopped by order, by its lease or by a failure.
+-- The attempt is stopped by an order, by the expiry of its lease or by a failure.
 pred stop[a: Attempt] {
   a in Running
   Running' = Running - a and Finished' = Finished and Expired' = Expired + a and Wire' = Wire
   recordStays
 }
 
--- The record lets the task wait again: evicted, lost or silent.
+-- The record returns the task to the queue: the task was evicted, or its worker is lost or unreachable.
 pred requeue {
   some Record.placed
   WaitForEnd in Present implies
     Record.placed not in Running + (Wire - Expired)
-  -- an owner that sent no order and lost the worker leaves the same picture; it sends none later
+  -- an owner that lost the worker before it sent an order leaves the same state; it sends none later
   Record.placed in Expired + Wire + Running + Finished or Record.placed not in Wire
   no Record.placed'
   Expired' = Expired + Record.placed
   Ended' = Ended and Used' = Used and Wire' = Wire and workStays
 }
 
--- The record of the end, by completion or by cancellation.
+-- The record of the end of the task, by completion or by cancellation.
 pred end {
   no Ended
   (some Record.placed & Finished)
@@ -101,7 +101,7 @@
     or (some a: Attempt | place[a] or order[a] or arrive[a] or expire[a] or finish[a] or stop[a]))
 }
 
--- Never in two places, and never again once it has ended.
+-- A task never runs in two places, and never runs again once it has ended.
 pred promised {
   always lone Running
   always (some Ended implies always no Running)
