--- a/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
+++ b/core/src/main/java/org/cottontack/core/job/Acknowledgements.java
@@ -71,13 +71,13 @@
   }
 
   /**
-   * Records that an incarnation has answered for the first time. From now on it is known which of
-   * its completions may be suppressed.
+   * Records the first answer of an incarnation. It shows which completions of the incarnation may
+   * be suppressed.
    *
    * @param earliestStartMillis earliest time at which that incarnation started, on our steady clock
    * @return the highest number that a late poll may have acknowledged to it before
    */
-  long mayHaveReached(WorkerIncarnation incarnation, long earliestStartMillis) {
+  long recordFirstAnswer(WorkerIncarnation incarnation, long earliestStartMillis) {
     boolean inherited =
         acknowledgedIncarnation.filter(other -> !other.equals(incarnation)).isPresent();
     acknowledgedIncarnation = acknowledgedIncarnation.map(other -> incarnation);
--- a/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
+++ b/core/src/main/java/org/cottontack/core/job/BaselineHeadroom.java
@@ -45,7 +45,7 @@
    * Lowest level: a service that runs alone is about within its bound, so what it lacks beyond that
    * is harm by neighbours.
    */
-  private static final double LEAST_LEVEL = 0.9;
+  private static final double MIN_LEVEL = 0.9;
 
   /** Steepest slope of a swing, per second. */
   private static final double MAX_SLOPE = 0.8;
@@ -104,7 +104,7 @@
     double levelGain = levelVariance / variance;
     double slopeGain = covariance / variance;
     double correction = Math.max(-MAX_CORRECTION, Math.min(MAX_CORRECTION, difference));
-    level = Math.max(LEAST_LEVEL, level + levelGain * correction);
+    level = Math.max(MIN_LEVEL, level + levelGain * correction);
     slope = Math.max(-MAX_SLOPE, Math.min(MAX_SLOPE, slope + slopeGain * correction));
     slopeVariance -= slopeGain * covariance;
     covariance -= levelGain * covariance;
--- a/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
+++ b/core/src/main/java/org/cottontack/core/job/ContentionSnapshot.java
@@ -4,7 +4,8 @@
 
 /**
  * The state of a worker that decides whether one more best-effort task may join it. It is cached
- * until something on the worker changes, because each waiting task asks every worker.
+ * until something on the worker changes, because every waiting task is checked against every
+ * worker.
  *
  * @param overBound whether the tail latency of a serving task is over its bound
  * @param leftoverCpu processor time that nothing uses, in thousandths of a core
@@ -30,14 +31,14 @@
    * A service on the worker.
    *
    * @param task one of its tasks
-   * @param headroomUsed headroom that best-effort tasks there take already
+   * @param headroomTaken headroom that the best-effort tasks there take already
    * @param headroomAvailable headroom that may be taken, the lower of the values expected at {@link
    *     #SOON_MILLIS} and {@link #LATER_MILLIS} from now
    * @param unknownImagePresent whether an image runs there whose effect on the service no report
    *     has shown yet
    */
   record Neighbour(
-      Task task, double headroomUsed, double headroomAvailable, boolean unknownImagePresent) {}
+      Task task, double headroomTaken, double headroomAvailable, boolean unknownImagePresent) {}
 
   static ContentionSnapshot of(Worker worker, Interference interference, long nowMillis) {
     return new ContentionSnapshot(
@@ -58,7 +59,7 @@
     boolean unknownImagePresent =
         worker.bestEffort().anyMatch(other -> interference.unknown(task, other));
     return new Neighbour(
-        task, interference.headroomUse(worker, task), headroomAvailable, unknownImagePresent);
+        task, interference.headroomTaken(worker, task), headroomAvailable, unknownImagePresent);
   }
 
   /**
@@ -88,6 +89,6 @@
     }
     return neighbour.headroomAvailable() <= 0
         ? Double.MAX_VALUE
-        : (neighbour.headroomUsed() + effect) / neighbour.headroomAvailable();
+        : (neighbour.headroomTaken() + effect) / neighbour.headroomAvailable();
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/CrashBlame.java
+++ b/core/src/main/java/org/cottontack/core/job/CrashBlame.java
@@ -22,13 +22,13 @@
    * Number of times a task is blamed before it is abandoned. One is not enough, because a worker
    * may crash for another reason beside a suspect.
    */
-  private static final int MOST_BLAMED = 2;
+  private static final int MAX_BLAMED = 2;
 
   /**
    * Number of crashes after which a task is abandoned whatever else ran on the workers. The
    * platform allows fewer than three starts after the third crash.
    */
-  private static final int MOST_CRASHES = 5;
+  private static final int MAX_CRASHES = 5;
 
   /**
    * Number of crashes after which each further run counts as a crash, however it ends, because what
@@ -86,8 +86,8 @@
 
   private static boolean likeliest(Task task, List<Task> suspects) {
     boolean begunJustBefore = task.order == Task.Order.CONFIRMED && !listed(task);
-    int least = begunJustBefore ? 1 : SUSPECT_CRASHES;
-    return task.crashes >= least
+    int minCrashes = begunJustBefore ? 1 : SUSPECT_CRASHES;
+    return task.crashes >= minCrashes
         && suspects.stream()
             .filter(other -> other != task)
             .allMatch(other -> lessLikely(other, task));
@@ -99,8 +99,8 @@
    * the cause instead.
    */
   private static boolean lessLikely(Task other, Task task) {
-    boolean sooner = listed(task) && !listed(other) && other.crashes > 0;
-    return other.crashes < task.crashes && !sooner;
+    boolean moreLikely = listed(task) && !listed(other) && other.crashes > 0;
+    return other.crashes < task.crashes && !moreLikely;
   }
 
   private static boolean listed(Task task) {
@@ -108,6 +108,6 @@
   }
 
   private static boolean shouldAbandon(Task task) {
-    return task.blamed >= MOST_BLAMED || task.crashes >= MOST_CRASHES;
+    return task.blamed >= MAX_BLAMED || task.crashes >= MAX_CRASHES;
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Fleet.java
+++ b/core/src/main/java/org/cottontack/core/job/Fleet.java
@@ -13,7 +13,7 @@
    * Longest lease that a worker accepts regardless of what an order asks for, in milliseconds: 10 s
    * on a clock that is 2 % slow.
    */
-  static final long LONGEST_LEASE_MILLIS = 10_300;
+  static final long MAX_LEASE_MILLIS = 10_300;
 
   /**
    * Time between polls of a worker with deferred acknowledgements, in milliseconds. The worker
@@ -119,7 +119,7 @@
    * until the first answer of the next incarnation.
    */
   private Worker restarted(Worker before, WorkerInfo info) {
-    long leaseEnd = Math.max(before.leasesEndedMillis(), term.now.mono() + LONGEST_LEASE_MILLIS);
+    long leaseEnd = Math.max(before.leasesEndedMillis(), term.now.mono() + MAX_LEASE_MILLIS);
     Worker next = term.add(info, leaseEnd);
     List<Task> runs = List.copyOf(before.placed.values());
     runs.forEach(next::add);
@@ -154,8 +154,9 @@
   }
 
   /**
-   * Returns the other workers at a worker's address. Once one of them is registered, those that no
-   * longer are have ended together with all their runs, so their leases need not be waited out.
+   * Returns the other workers at a worker's address. Once one of them is registered, those that are
+   * no longer registered have ended together with all their runs, so their leases need not be
+   * waited out.
    */
   private Stream<Worker> othersAtAddress(WorkerInfo info) {
     return term.workers.values().stream()
@@ -229,8 +230,8 @@
    * Moves a long-running task off a worker that is about to leave. If the leader changed right
    * after the worker left, the next leader would wait out the leases of a worker that it never
    * reached, and the task would be absent for 9 s. Tasks move one at a time, and only while no
-   * other long-running task is waiting: a task for which there is no capacity elsewhere had better
-   * stay where it is.
+   * other long-running task is waiting: a task for which there is no capacity elsewhere stays where
+   * it is.
    */
   private void moveLongRunningTask(Worker worker) {
     boolean oneWaits =
--- a/core/src/main/java/org/cottontack/core/job/IgnoredStarts.java
+++ b/core/src/main/java/org/cottontack/core/job/IgnoredStarts.java
@@ -4,8 +4,8 @@
  * Starts that a worker left unanswered although it answered a later request. They show that orders
  * are delayed rather than lost in a crash: orders are then carried out up to {@link
  * LateStart#LATEST_MILLIS} late, and a worker may be lost before it has answered the start of a
- * long-running task. After a crash alone that task has to be back when its leases have ended. While
- * orders are delayed, users tolerate its absence until the start has expired.
+ * long-running task. After a crash without such delays that task has to be back when its leases
+ * have ended. While orders are delayed, users tolerate its absence until the start has expired.
  */
 final class IgnoredStarts {
 
--- a/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
+++ b/core/src/main/java/org/cottontack/core/job/IncarnationHistory.java
@@ -7,7 +7,10 @@
 import java.util.stream.Collectors;
 import org.cottontack.core.id.WorkerId;
 
-/** A leader's state of each worker identifier that is shared by all its incarnations. */
+/**
+ * The state that a leader keeps for each worker identifier, across all incarnations with that
+ * identifier.
+ */
 final class IncarnationHistory {
 
   private record Last(WorkerIncarnation incarnation, int restarts) {}
@@ -33,7 +36,7 @@
   /**
    * Returns the incarnations whose acknowledgements may reach the next incarnation of their worker.
    *
-   * @param known whether a worker is currently known
+   * @param known whether the leader currently has a worker with this identifier
    */
   Set<WorkerIncarnation> acknowledged(Predicate<WorkerId> known, long nowMillis) {
     return acknowledgements.entrySet().stream()
--- a/core/src/main/java/org/cottontack/core/job/Interference.java
+++ b/core/src/main/java/org/cottontack/core/job/Interference.java
@@ -46,7 +46,7 @@
    * Returns the headroom that all best-effort tasks beside a serving task take at their present
    * paces.
    */
-  default double headroomUse(Worker worker, Task serving) {
+  default double headroomTaken(Worker worker, Task serving) {
     return worker
         .bestEffort()
         .mapToDouble(other -> effect(worker, serving, other) * other.pace / Task.FULL_PACE)
--- a/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
+++ b/core/src/main/java/org/cottontack/core/job/InterferenceWeights.java
@@ -23,13 +23,13 @@
    * Lower limit of the variance of a weight, so that a well-known weight follows a change within
    * some 100 reports.
    */
-  private static final double LEAST_VARIANCE = 0.5;
+  private static final double MIN_VARIANCE = 0.5;
 
   /**
    * Lower limit of a weight. An image that is always present cannot be distinguished from the
    * service's own load: eight such tasks, taken for harmless, together broke the bound.
    */
-  private static final double LEAST_WEIGHT = 0.2;
+  private static final double MIN_WEIGHT = 0.2;
 
   /**
    * Standard deviation of an image's effect over the phases of its work, as a share of the effect.
@@ -44,11 +44,11 @@
    * a limit, a caller that gives each job a new name would fill the memory and the row that is
    * stored for the next leader.
    */
-  static final int MOST_IMAGES = 32;
+  static final int MAX_IMAGES = 32;
 
-  private final Map<String, Integer> index = new LruMap<>(MOST_IMAGES);
-  private final double[] weights = new double[MOST_IMAGES];
-  private final double[][] covariance = new double[MOST_IMAGES][MOST_IMAGES];
+  private final Map<String, Integer> index = new LruMap<>(MAX_IMAGES);
+  private final double[] weights = new double[MAX_IMAGES];
+  private final double[][] covariance = new double[MAX_IMAGES][MAX_IMAGES];
 
   private int indexOf(String image) {
     Integer at = index.get(image);
@@ -59,12 +59,12 @@
     Set<Integer> taken = new HashSet<>(index.values());
     Map.Entry<String, Integer> oldest = index.entrySet().stream().findFirst().orElse(null);
     int free =
-        IntStream.range(0, MOST_IMAGES)
+        IntStream.range(0, MAX_IMAGES)
             .filter(slot -> !taken.contains(slot))
             .findFirst()
             .orElseGet(() -> oldest.getValue());
     weights[free] = PRIOR;
-    for (int other = 0; other < MOST_IMAGES; other++) {
+    for (int other = 0; other < MAX_IMAGES; other++) {
       covariance[free][other] = 0;
       covariance[other][free] = 0;
     }
@@ -78,7 +78,7 @@
     private final int[] indexes;
     private final double[] shares;
     private final double[] gain;
-    private final double headroomUse;
+    private final double headroomTaken;
     private final double variance;
     private final double phaseVariance;
 
@@ -96,18 +96,18 @@
           gain[row] += covariance[row][indexes[i]] * shares[i];
         }
       }
-      headroomUse = Math.max(0, headroomSum);
+      headroomTaken = Math.max(0, headroomSum);
       phaseVariance = phaseVarianceSum;
       variance =
           IntStream.range(0, indexes.length).mapToDouble(i -> gain[indexes[i]] * shares[i]).sum();
     }
 
     /** Returns the predicted headroom that the images take. */
-    double headroomUse() {
-      return headroomUse;
+    double headroomTaken() {
+      return headroomTaken;
     }
 
-    /** Returns the variance of {@link #headroomUse()} that comes from uncertain weights. */
+    /** Returns the variance of {@link #headroomTaken()} that comes from uncertain weights. */
     double variance() {
       return variance;
     }
@@ -120,18 +120,18 @@
     /**
      * Updates the weights by the difference between the headroom taken and its prediction.
      *
-     * @param difference headroom taken beyond {@link #headroomUse()}
+     * @param difference headroom taken beyond {@link #headroomTaken()}
      * @param variance variance of the difference, including that of this mixture
      */
     void correct(double difference, double variance) {
       for (int row = 0; row < gain.length; row++) {
-        weights[row] = Math.max(LEAST_WEIGHT, weights[row] + gain[row] / variance * difference);
+        weights[row] = Math.max(MIN_WEIGHT, weights[row] + gain[row] / variance * difference);
         for (int column = 0; column < gain.length; column++) {
           covariance[row][column] -= gain[row] * gain[column] / variance;
         }
       }
       for (int row = 0; row < gain.length; row++) {
-        covariance[row][row] = Math.max(LEAST_VARIANCE, covariance[row][row]);
+        covariance[row][row] = Math.max(MIN_VARIANCE, covariance[row][row]);
       }
     }
   }
@@ -174,6 +174,6 @@
   void restore(Interference.Pair pair) {
     int at = indexOf(pair.bestEffort());
     weights[at] = pair.weight();
-    covariance[at][at] = Math.max(LEAST_VARIANCE, pair.variance());
+    covariance[at][at] = Math.max(MIN_VARIANCE, pair.variance());
   }
 }
--- a/core/src/main/java/org/cottontack/core/job/Job.java
+++ b/core/src/main/java/org/cottontack/core/job/Job.java
@@ -45,6 +45,8 @@
 
   final List<Occurrence> occurrences = new ArrayList<>();
   JobPhase phase = JobPhase.QUEUED;
+
+  /** Whether the job no longer waits for its first start. */
   boolean begun;
 
   Job(JobSpec spec, long arrivedMillis) {
--- a/core/src/main/java/org/cottontack/core/job/LateLeases.java
+++ b/core/src/main/java/org/cottontack/core/job/LateLeases.java
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Returns whether such an order may have reached an incarnation before it answered this leader.
+   * Returns whether an unanswered order that grants a lease may have reached an incarnation before
+   * that incarnation answered this leader.
    *
    * @param earliestStartMillis earliest time at which that incarnation started, on our steady clock
    */
--- a/core/src/main/java/org/cottontack/core/job/LeaderLease.java
+++ b/core/src/main/java/org/cottontack/core/job/LeaderLease.java
@@ -16,9 +16,9 @@
    * How long after a renewal was sent the leases that the leader gives to workers may last, in
    * milliseconds. The next leader waits that long after the last renewal before it restarts the
    * runs of a worker that it cannot reach. With 8.5 s, a long-running task is back 9 s after its
-   * worker and its leader were lost together. It would be 17 s if a leader without store went on
-   * giving leases of 8.5 s for 5.5 s. Renewals are sent twice a second and workers polled once a
-   * second, so that a worker which is cut off for 6.5 s still keeps its runs.
+   * worker and its leader were lost together. It would be 17 s if a leader without access to the
+   * store went on giving leases of 8.5 s for 5.5 s. Renewals are sent twice a second and workers
+   * polled once a second, so that a worker which is cut off for 6.5 s still keeps its runs.
    */
   public static final long GRANT_MILLIS = 8_500;
 
@@ -29,7 +29,7 @@
   static final long SILENCE_MILLIS = 2_100;
 
   /** Longest time between two observations that counts as watched, in milliseconds. */
-  static final long LONGEST_GAP_MILLIS = 700;
+  static final long MAX_GAP_MILLIS = 700;
 
   private static final Moment NEVER = new Moment(Long.MIN_VALUE / 4, Long.MIN_VALUE / 4);
 
@@ -52,7 +52,7 @@
     } else if (observedMillis != Long.MIN_VALUE) {
       // A process that slept or had no access to the store saw nothing in between, and the holder
       // may have renewed the lease.
-      watchedMillis += Math.min(nowMillis - observedMillis, LONGEST_GAP_MILLIS);
+      watchedMillis += Math.min(nowMillis - observedMillis, MAX_GAP_MILLIS);
     }
     lastVersion = version;
     observedMillis = nowMillis;
--- a/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedInterference.java
@@ -32,7 +32,7 @@
   private static final double ROUNDING_ERROR = 0.015;
 
   /** Headroom above which reports give no further information. */
-  private static final double MOST_HEADROOM = 10;
+  private static final double MAX_HEADROOM = 10;
 
   /** Headroom below which the queue of a service grows without bound. */
   private static final double OVERLOADED = 0.3;
@@ -45,10 +45,10 @@
   static final double STALLED_WORKER_RATIO = 50;
 
   /** Lowest headroom, used for the worst overload. */
-  private static final double LEAST_HEADROOM = -1;
+  private static final double MIN_HEADROOM = -1;
 
   /** Share of the processors below which an image gives no information about its weight. */
-  private static final double LEAST_SHARE = 0.005;
+  private static final double MIN_SHARE = 0.005;
 
   /** How long a run that ended still shows in the reported loads, in milliseconds. */
   private static final long RESIDUAL_LOAD_MILLIS = 500;
@@ -65,11 +65,11 @@
    * Number of services kept, over twice as many as are expected to run at a time. The least
    * recently used one is evicted.
    */
-  private static final int MOST_SERVICES = 4_096;
+  private static final int MAX_SERVICES = 4_096;
 
   private final Map<String, InterferenceWeights> weightsByImage =
-      new LruMap<>(InterferenceWeights.MOST_IMAGES);
-  private final Map<JobId, BaselineHeadroom> baselines = new LruMap<>(MOST_SERVICES);
+      new LruMap<>(InterferenceWeights.MAX_IMAGES);
+  private final Map<JobId, BaselineHeadroom> baselines = new LruMap<>(MAX_SERVICES);
 
   private InterferenceWeights weights(Task serving) {
     return weightsByImage.computeIfAbsent(serving.spec.image(), image -> new InterferenceWeights());
@@ -92,7 +92,7 @@
           double left = 1 - (nowMillis - residual.endedMillis()) / (double) RESIDUAL_LOAD_MILLIS;
           shares.merge(residual.image(), left * worker.share(residual.load()), Double::sum);
         });
-    shares.values().removeIf(share -> share < LEAST_SHARE);
+    shares.values().removeIf(share -> share < MIN_SHARE);
     worker
         .serving()
         .filter(task -> task.progress == SERVING_PROGRESS && task.load > 0)
@@ -106,7 +106,7 @@
     BaselineHeadroom baseline = baseline(serving);
     baseline.advance(millis);
     InterferenceWeights.Mixture mixture = weights(serving).mixture(shares);
-    double predicted = Math.max(LEAST_HEADROOM, baseline.level() - mixture.headroomUse());
+    double predicted = Math.max(MIN_HEADROOM, baseline.level() - mixture.headroomTaken());
     double rounding = ROUNDING_ERROR * headroom * headroom;
     double variance =
         baseline.levelVariance()
@@ -114,21 +114,21 @@
             + mixture.phaseVariance()
             + NOISE
             + rounding * rounding;
-    serving.excess = predicted - headroom;
+    serving.headroomShortfall = predicted - headroom;
     baseline.correct(headroom - predicted, variance);
     mixture.correct(predicted - headroom, variance);
   }
 
   /**
-   * Returns the reported headroom. A tail that is many times its bound grows for as long as more
-   * headroom is taken than there was, so it is mapped to a shortage, down to {@link
-   * #LEAST_HEADROOM}.
+   * Returns the reported headroom. A tail that is many times its bound keeps growing while
+   * neighbours take more headroom than the service has, so it is mapped to a shortage, down to
+   * {@link #MIN_HEADROOM}.
    */
   private static double headroom(Task serving) {
-    double headroom = Math.min(MOST_HEADROOM, serving.spec.targetMillis() / serving.load);
+    double headroom = Math.min(MAX_HEADROOM, serving.spec.targetMillis() / serving.load);
     return headroom >= OVERLOADED
         ? headroom
-        : Math.max(LEAST_HEADROOM, OVERLOADED * (1 + Math.log(headroom / OVERLOADED)));
+        : Math.max(MIN_HEADROOM, OVERLOADED * (1 + Math.log(headroom / OVERLOADED)));
   }
 
   @Override
--- a/core/src/main/java/org/cottontack/core/job/LearnedText.java
+++ b/core/src/main/java/org/cottontack/core/job/LearnedText.java
@@ -22,7 +22,7 @@
 final class LearnedText {
 
   /** Size limit of the text, in bytes: half of the smallest row that the store accepts. */
-  static final int MOST_BYTES = 32_000;
+  static final int MAX_BYTES = 32_000;
 
   /**
    * Lines of weights of headroom. Lines that begin with "pair" hold other weights, which have no
@@ -50,7 +50,7 @@
 
   private static final int DEFERRED_FIELDS = INCARNATION_FIELDS + 1;
 
-  /** Size that incarnations leave to queues and pairs, in bytes. */
+  /** Size that the lines of incarnations leave free for those of queues and pairs, in bytes. */
   private static final int LEARNED_BYTES = 8_000;
 
   /**
@@ -92,8 +92,8 @@
             .flatMap(lines -> lines)
             .toList();
     List<String> keptIncarnations =
-        first(incarnations, MOST_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
-    List<String> keptLearned = first(learned, MOST_BYTES - bytes(keptIncarnations));
+        first(incarnations, MAX_BYTES - Math.min(bytes(learned), LEARNED_BYTES));
+    List<String> keptLearned = first(learned, MAX_BYTES - bytes(keptIncarnations));
     String text =
         Stream.concat(keptIncarnations.stream(), keptLearned.stream())
             .collect(Collectors.joining("\n"));
@@ -101,9 +101,9 @@
         text, incarnations.size() - keptIncarnations.size(), learned.size() - keptLearned.size());
   }
 
-  private static List<String> first(List<String> lines, int mostBytes) {
+  private static List<String> first(List<String> lines, int maxBytes) {
     int[] bytes = {0};
-    return lines.stream().takeWhile(line -> (bytes[0] += line.length() + 1) <= mostBytes).toList();
+    return lines.stream().takeWhile(line -> (bytes[0] += line.length() + 1) <= maxBytes).toList();
   }
 
   private static int bytes(List<String> lines) {
--- a/core/src/main/java/org/cottontack/core/job/LostWorkers.java
+++ b/core/src/main/java/org/cottontack/core/job/LostWorkers.java
@@ -100,14 +100,14 @@
   }
 
   private void logLost(Worker worker, Task task) {
-    boolean byUs = task.placedMillis > 0;
+    boolean placedByUs = task.placedMillis > 0;
     String detail =
         "%s order=%s placed=%d listed=%d crashes=%d blamed=%d"
             .formatted(
                 worker.info.id(),
                 task.order,
-                byUs ? term.now.mono() - task.placedMillis : 0,
-                byUs && task.listedMillis > 0 ? task.listedMillis - task.placedMillis : 0,
+                placedByUs ? term.now.mono() - task.placedMillis : 0,
+                placedByUs && task.listedMillis > 0 ? task.listedMillis - task.placedMillis : 0,
                 task.crashes,
                 task.blamed);
     term.logEvent("run.lost", task.key(), detail);
--- a/core/src/main/java/org/cottontack/core/job/Orders.java
+++ b/core/src/main/java/org/cottontack/core/job/Orders.java
@@ -2,8 +2,8 @@
 
 /**
  * Sends orders to workers and handles their answers. An order without an answer may be carried out
- * later, even after newer orders, so its place on the worker counts as taken until the worker's
- * lists show otherwise.
+ * later, even after newer orders, so the run counts as present on the worker until the worker's
+ * reports show otherwise.
  */
 final class Orders {
 
@@ -11,10 +11,10 @@
    * Minimum lease of a run that starts, in milliseconds. It covers the longest wait for the next
    * poll of its worker, 2 s, and a leader takeover after that.
    */
-  private static final long LEAST_START_LEASE_MILLIS = 5_500;
+  private static final long MIN_START_LEASE_MILLIS = 5_500;
 
   /** Minimum remaining lease at which a poll may grant no lease, in milliseconds. */
-  private static final long LEAST_LEFT_LEASE_MILLIS = 7_000;
+  private static final long MIN_REMAINING_LEASE_MILLIS = 7_000;
 
   private final Term term;
 
@@ -46,13 +46,13 @@
       term.release(task);
       return;
     }
-    order(worker, task);
+    sendStart(worker, task);
     if (!worker.pollInFlight) {
       poll(worker, pollWaitMillis(worker));
     }
   }
 
-  private void order(Worker worker, Task task) {
+  private void sendStart(Worker worker, Task task) {
     task.shortLease |= worker.suppressedCompletions.appliesTo(task.spec) && !worker.renewsLeases();
     task.sent(term.now.mono());
     worker.lateLeases.startSent(task.key(), term.now.mono());
@@ -73,8 +73,8 @@
    * starts: a delayed start could otherwise begin work of a job that has been cancelled. Where no
    * lease is confirmed to be in force, a deadline that short would end the run.
    *
-   * <p>A short-lease run needs exactly that, because its completion may never be listed: whatever
-   * happens to other orders, the run ends before it can be done.
+   * <p>A short-lease run always gets a deadline that short, because its completion may never be
+   * listed: whatever happens to other orders, the run ends before it can be done.
    */
   private long startDeadline(Worker worker, Task task) {
     if (task.shortLease) {
@@ -83,7 +83,7 @@
     }
     long lease = startLeaseEnd(worker);
     boolean leaseConfirmed =
-        worker.confirmedLeaseEndMillis() - term.now.mono() > LEAST_START_LEASE_MILLIS;
+        worker.confirmedLeaseEndMillis() - term.now.mono() > MIN_START_LEASE_MILLIS;
     return leaseConfirmed ? Math.min(lease, term.startDeadlineMillis) : lease;
   }
 
@@ -95,7 +95,7 @@
    */
   private long startLeaseEnd(Worker worker) {
     long given = worker.clock.lastLeaseEndMillis();
-    return given - term.now.mono() > LEAST_START_LEASE_MILLIS ? given : term.grantEndMillis();
+    return given - term.now.mono() > MIN_START_LEASE_MILLIS ? given : term.grantEndMillis();
   }
 
   /**
@@ -186,7 +186,7 @@
       task.prepareResend();
       term.dirty.add(task.job);
     } else if (!worker.silent) {
-      order(worker, task);
+      sendStart(worker, task);
     } else if (!task.startInDoubt) {
       term.release(task);
     }
@@ -273,11 +273,12 @@
     boolean acknowledges = listsAcknowledged && !worker.silent;
     // If the next incarnation may receive the acknowledgement, the poll grants no lease along with
     // it. Runs of that incarnation can then be ended by the leases that their starts grant.
+    // Where runs here soon need a longer lease, this poll grants it and the next one acknowledges.
     boolean ackOnly = acknowledges && worker.incarnation().identifierReusable();
     long leftMillis = worker.clock.lastLeaseEndMillis() - term.now.mono();
     boolean needed = !worker.placed.isEmpty() && worker.renewsLeases();
     boolean longer = term.grantEndMillis() > worker.clock.lastLeaseEndMillis();
-    boolean leaseFirst = ackOnly && needed && longer && leftMillis < LEAST_LEFT_LEASE_MILLIS;
+    boolean leaseFirst = ackOnly && needed && longer && leftMillis < MIN_REMAINING_LEASE_MILLIS;
     long leaseEnd = ackOnly && !leaseFirst ? noLease(worker) : leaseEnd(worker);
     long acknowledged = acknowledges && !leaseFirst ? worker.lastAcknowledgedCompletion : 0;
     worker.acknowledgements.pollSent(acknowledged, term.now.mono());
--- a/core/src/main/java/org/cottontack/core/job/Pacing.java
+++ b/core/src/main/java/org/cottontack/core/job/Pacing.java
@@ -63,12 +63,12 @@
   private static final int PACE_STEP = 5;
 
   /**
-   * Smallest decrease of a pace that is worth an order, in percent. {@link #LEAST_RISE} is that of
-   * an increase.
+   * Smallest decrease of a pace that is worth an order, in percent. {@link #MIN_INCREASE} is that
+   * of an increase.
    */
-  private static final int LEAST_DROP = 25;
+  private static final int MIN_DECREASE = 25;
 
-  private static final int LEAST_RISE = 20;
+  private static final int MIN_INCREASE = 20;
 
   private final Interference interference;
 
@@ -141,7 +141,7 @@
       return 0;
     }
     return interference.availableHeadroom(serving, millis)
-        - Math.max(0, serving.excess - PREDICTION_ERROR);
+        - Math.max(0, serving.headroomShortfall - PREDICTION_ERROR);
   }
 
   /**
@@ -157,7 +157,7 @@
   }
 
   private int pace(Worker worker, Task bestEffort, Map<Task, Double> headroom) {
-    double least =
+    double minShare =
         headroom.entrySet().stream()
             .mapToDouble(
                 entry -> {
@@ -168,7 +168,7 @@
                 })
             .min()
             .orElse(1);
-    int pace = (int) (Math.min(1, least) * Task.FULL_PACE);
+    int pace = (int) (Math.min(1, minShare) * Task.FULL_PACE);
     return pace / PACE_STEP * PACE_STEP;
   }
 
@@ -178,8 +178,8 @@
     int change = pace - task.pace;
     if (task.pace == Task.INHERITED_PACE
         || extreme
-        || change <= -LEAST_DROP
-        || change >= LEAST_RISE) {
+        || change <= -MIN_DECREASE
+        || change >= MIN_INCREASE) {
       setPace(worker, task, pace, nowMillis, orders);
     }
   }
--- a/core/src/main/java/org/cottontack/core/job/ProgressText.java
+++ b/core/src/main/java/org/cottontack/core/job/ProgressText.java
@@ -17,7 +17,7 @@
   private static final String NO_WORKER = "-";
   private static final int FIELDS = 8;
   private static final int CRASH_FIELDS = 2;
-  private static final int MOST_FIELDS = FIELDS + CRASH_FIELDS + 1;
+  private static final int MAX_FIELDS = FIELDS + CRASH_FIELDS + 1;
 
   /**
    * Precedes the start time of the worker's incarnation where duplicate starts are possible.
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Returns the worker of a task. For a task that waits until a start which may still be on its
-     * way has expired, this is the worker that the start was sent to.
+     * Returns the worker of a task. For a waiting task with a start that may still be in flight,
+     * this is the first incarnation that refuses the start, which has the identifier of the worker
+     * that the start was sent to.
      */
     private static Optional<WorkerIncarnation> worker(Task task) {
       return Optional.ofNullable(task.worker)
@@ -75,7 +76,7 @@
      */
     static Line parse(String text) {
       String[] fields = text.split(" ", -1);
-      if (fields.length < FIELDS || fields.length > MOST_FIELDS || fields[3].length() != 1) {
+      if (fields.length < FIELDS || fields.length > MAX_FIELDS || fields[3].length() != 1) {
         throw new IllegalArgumentException("not the progress of a task: " + text);
       }
       boolean hasCrashes = fields.length >= FIELDS + CRASH_FIELDS;
--- a/core/src/main/java/org/cottontack/core/job/SuppressedCompletions.java
+++ b/core/src/main/java/org/cottontack/core/job/SuppressedCompletions.java
@@ -70,18 +70,20 @@
    * Returns whether a task may begin there.
    *
    * @param spec the step of the task
-   * @param probed whether a short-lease run is there
-   * @param open whether a short-lease run may begin: either nothing else is there and no lease that
-   *     this leader gave is in force, or a service is there, whose end cannot be waited for
+   * @param hasShortLeaseRun whether a short-lease run is there already
+   * @param shortLeaseAllowed whether a short-lease run may begin: either nothing else is there and
+   *     no lease that this leader gave is in force, or a service is there, whose end cannot be
+   *     waited for
    */
-  boolean admits(StepSpec spec, boolean probed, boolean open, long nowMillis) {
+  boolean admits(
+      StepSpec spec, boolean hasShortLeaseRun, boolean shortLeaseAllowed, long nowMillis) {
     if (none()) {
       return true;
     }
     if (!mustNotRepeat(spec)) {
-      return !probed;
+      return !hasShortLeaseRun;
     }
-    boolean leased = !open || nowMillis < leasedUntilMillis;
+    boolean leased = !shortLeaseAllowed || nowMillis < leasedUntilMillis;
     return !leased && spec.estimateMillis() >= MIN_ESTIMATE_MILLIS;
   }
 
--- a/core/src/main/java/org/cottontack/core/job/Task.java
+++ b/core/src/main/java/org/cottontack/core/job/Task.java
@@ -54,7 +54,7 @@
   /** State of the start order of the present run. */
   enum Order {
     /**
-     * The placement, or the mark that a duplicate start is possible, is not stored yet: the order
+     * The placement, or the flag that a duplicate start is possible, is not stored yet: the order
      * must not be sent.
      */
     UNSAVED,
@@ -115,8 +115,8 @@
 
   /**
    * Whether a duplicate of its start, or the start of an earlier run, may arrive after the present
-   * run has begun. The worker cannot tell the next leader, so this is stored before the start is
-   * sent.
+   * run has begun. The worker cannot report this to the next leader, so it is stored before the
+   * start is sent.
    */
   boolean duplicateStartPossible;
 
@@ -154,17 +154,28 @@
   final Set<WorkerIncarnation> failedOn = new HashSet<>();
   int pace = FULL_PACE;
   long pacedMillis;
+
+  /** Work missed until {@link #pacedMillis}, in milliseconds at full pace. */
   private double slowedMillis;
 
+  /** Value of {@link #slowedMillis} when the pace last became low. */
   private double slowedBeforeMillis;
+
   private double processedLoad;
   private long processedMillis;
   private long savedMillis;
   private double slowedWhenSavedMillis;
 
+  /** When the tail of a serving task was first near or over its bound; 0 once it is well below. */
   long overSinceMillis;
+
+  /**
+   * Last reported tail latency of a serving task, in milliseconds; processor use of other tasks.
+   */
   double load;
-  double excess;
+
+  /** Predicted less reported headroom of a serving task at its last report. */
+  double headroomShortfall;
 
   Task(Job job, TaskName name, StepSpec spec) {
     this.job = job;
--- a/core/src/main/java/org/cottontack/core/job/Term.java
+++ b/core/src/main/java/org/cottontack/core/job/Term.java
@@ -58,7 +58,9 @@
    */
   boolean incarnationsUnsaved;
 
+  /** Whether something has changed since the last placement pass that may let a task be placed. */
   boolean capacityChanged;
+
   Moment now;
   List<JobEffect> effects = new ArrayList<>();
 
--- a/core/src/main/java/org/cottontack/core/job/UnlistedSuppressions.java
+++ b/core/src/main/java/org/cottontack/core/job/UnlistedSuppressions.java
@@ -18,7 +18,7 @@
 final class UnlistedSuppressions {
 
   /** Longest time for which a worker that comes back is not listed, in milliseconds. */
-  private static final long LONGEST_ABSENCE_MILLIS = 2 * 3_600_000;
+  private static final long MAX_ABSENCE_MILLIS = 2 * 3_600_000;
 
   /**
    * State of an unlisted incarnation.
@@ -76,12 +76,12 @@
   /**
    * Removes incarnations whose workers have been unlisted for too long.
    *
-   * @param known whether a worker is listed
+   * @param known whether the leader currently has a worker with this identifier
    */
   void expire(Predicate<WorkerId> known, long nowMillis) {
     unlisted.replaceAll(
         (incarnation, last) -> known.test(incarnation.worker()) ? last.seen(nowMillis) : last);
-    unlisted.values().removeIf(last -> nowMillis - last.seenMillis() > LONGEST_ABSENCE_MILLIS);
+    unlisted.values().removeIf(last -> nowMillis - last.seenMillis() > MAX_ABSENCE_MILLIS);
   }
 
   /** Returns all incarnations, latest first. */
--- a/core/src/main/java/org/cottontack/core/job/Worker.java
+++ b/core/src/main/java/org/cottontack/core/job/Worker.java
@@ -26,7 +26,7 @@
    * Maximum number of times the first pause is doubled. The longest pause is 16 s, after which one
    * task is tried on the worker again.
    */
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   /**
    * Maximum difference between the clocks of instances and of the store over one lease, in
@@ -169,19 +169,21 @@
     return deferredAcknowledgements.acknowledgeable(lastSeenCompletion, nowMillis);
   }
 
-  /** Returns whether the leader will be able to tell whether a run that begins here was done. */
+  /**
+   * Returns whether the leader will be able to determine whether a run that begins here was done.
+   */
   boolean admits(StepSpec spec, long nowMillis) {
     if (suppressedCompletions.none()) {
       return true;
     }
-    boolean probed =
+    boolean hasShortLeaseRun =
         placed.values().stream().anyMatch(task -> SuppressedCompletions.mustNotRepeat(task.spec));
     boolean leased = !orphans.isEmpty() || nowMillis < clock.lastLeaseEndMillis();
     // A service never ends. Without this exception it would keep all other work off the worker for
     // as long as it runs there.
-    boolean besideService = renewsLeases() && !probed;
+    boolean besideService = renewsLeases() && !hasShortLeaseRun;
     return suppressedCompletions.admits(
-        spec, probed, besideService || (placed.isEmpty() && !leased), nowMillis);
+        spec, hasShortLeaseRun, besideService || (placed.isEmpty() && !leased), nowMillis);
   }
 
   /** Returns whether the runs on this worker are to continue when their leases end. */
@@ -240,7 +242,7 @@
     }
     failedMillis = nowMillis;
     if (failedJobs.add(job) && failedJobs.size() >= FAILED_JOBS) {
-      int doublings = Math.min(failedJobs.size() - FAILED_JOBS, MOST_DOUBLINGS);
+      int doublings = Math.min(failedJobs.size() - FAILED_JOBS, MAX_DOUBLINGS);
       avoidUntilMillis = Math.max(avoidUntilMillis, nowMillis + (FIRST_PAUSE_MILLIS << doublings));
     }
   }
@@ -336,7 +338,7 @@
     return services;
   }
 
-  /** Records a run that is not in force; returns whether it was not recorded before. */
+  /** Records an orphan, a run that is not in force; returns whether it was not recorded before. */
   boolean addOrphan(RunKey run, Resources amount) {
     if (orphans.putIfAbsent(run, amount) != null) {
       return false;
--- a/core/src/main/java/org/cottontack/core/job/WorkerReports.java
+++ b/core/src/main/java/org/cottontack/core/job/WorkerReports.java
@@ -73,7 +73,7 @@
     pacing.adjust(worker, term.now.mono()).forEach(term.effects::add);
     worker.changed();
     relocate(worker);
-    abandonStalled(worker);
+    stopStalled(worker);
     term.capacityChanged = true;
     boolean toAcknowledge = worker.lastSeenCompletion > worker.lastAcknowledgedCompletion;
     boolean busy = !worker.placed.isEmpty() || !worker.orphans.isEmpty();
@@ -87,14 +87,14 @@
    * time.
    */
   private void recordSuppressedCompletions(Worker worker, JobEvent.WorkerReported event) {
-    long leaseEnd = term.now.mono() + Fleet.LONGEST_LEASE_MILLIS;
+    long leaseEnd = term.now.mono() + Fleet.MAX_LEASE_MILLIS;
     term.unlistedSuppressions
         .of(worker.incarnation(), leaseEnd)
         .ifPresent(suppressed -> worker.suppressedCompletions = suppressed);
     long earliestStartTime =
         WorkerClock.earliestStartTime(event.report().clockMillis(), event.sentMillis());
     long suppressedUpTo =
-        worker.acknowledgements.mayHaveReached(worker.incarnation(), earliestStartTime);
+        worker.acknowledgements.recordFirstAnswer(worker.incarnation(), earliestStartTime);
     worker.suppressedCompletions.suppressUpTo(suppressedUpTo);
     // This leader does not know what earlier leaders sent.
     boolean inherited = earliestStartTime < term.inheritedLeaseEndMillis + LateStart.LATEST_MILLIS;
@@ -138,7 +138,7 @@
     if (!ended.isEmpty()) {
       lostWorkers.restarted(worker, ended, false, sentMillis);
       worker.suppressedCompletions.suppressUpTo(SuppressedCompletions.ANY);
-      worker.suppressedCompletions.leasedUntil(term.now.mono() + Fleet.LONGEST_LEASE_MILLIS);
+      worker.suppressedCompletions.leasedUntil(term.now.mono() + Fleet.MAX_LEASE_MILLIS);
     }
   }
 
@@ -162,7 +162,7 @@
    * Stops stalled runs. A worker may answer normally while its runs make no progress, and the
    * caller would see a job that never ends. The run resumes elsewhere from its checkpoint.
    */
-  private void abandonStalled(Worker worker) {
+  private void stopStalled(Worker worker) {
     List<Task> stalled =
         worker.placed.values().stream()
             .filter(task -> task.order == Task.Order.CONFIRMED)
--- a/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/BoundedStartsTest.java
@@ -25,7 +25,7 @@
   }
 
   private static List<JobEffect.StartRun> starts(JobSimulation simulation) {
-    return simulation.seen.stream()
+    return simulation.effects.stream()
         .filter(JobEffect.StartRun.class::isInstance)
         .map(JobEffect.StartRun.class::cast)
         .toList();
@@ -107,7 +107,7 @@
       simulation.run(3_000);
       final long sentMillis = simulation.now;
       simulation.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 60_000 : 0;
-      for (int before = simulation.seen.size(); simulation.seen.size() == before; ) {
+      for (int before = simulation.effects.size(); simulation.effects.size() == before; ) {
         simulation.run(10);
       }
       WorkerReport overtaken =
--- a/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
+++ b/core/src/test/java/org/cottontack/core/job/CrashingTaskTest.java
@@ -20,7 +20,7 @@
 public class CrashingTaskTest {
 
   /** Maximum starts of a task that crashes its workers: three, and fewer than three more. */
-  private static final int MOST_STARTS = 5;
+  private static final int MAX_STARTS = 5;
 
   private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
 
@@ -38,7 +38,7 @@
   }
 
   private static void assertAbandoned(JobSimulation simulation) {
-    assertTrue(simulation.startsOf(FATAL) <= MOST_STARTS, "starts: " + simulation.startsOf(FATAL));
+    assertTrue(simulation.startsOf(FATAL) <= MAX_STARTS, "starts: " + simulation.startsOf(FATAL));
     assertEquals(simulation.phase(FATAL.job()), JobPhase.FAILED);
   }
 
@@ -300,7 +300,7 @@
       simulation.run(15_000);
       for (int i = 0; i < bad.size(); i++) {
         long starts = simulation.startsOf(fatal(i));
-        assertTrue(starts <= MOST_STARTS, fatal(i) + " starts " + starts);
+        assertTrue(starts <= MAX_STARTS, fatal(i) + " starts " + starts);
         assertEquals(simulation.phase(bad.get(i).id()), JobPhase.FAILED);
       }
       assertComplete(simulation, others.stream());
--- a/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DeferredAcknowledgementsTest.java
@@ -214,11 +214,11 @@
       simulation.lost = effect -> false;
       simulation.workMillis = 500;
       simulation.run(60_000);
-      simulation.seen.clear();
+      simulation.effects.clear();
       simulation.submit(JobFixtures.job("more", step(1, 2, List.of())));
       simulation.run(5_000);
       List<String> texts =
-          simulation.seen.stream()
+          simulation.effects.stream()
               .filter(JobEffect.SaveProgress.class::isInstance)
               .map(effect -> ((JobEffect.SaveProgress) effect).learned())
               .filter(text -> !text.isEmpty())
@@ -331,7 +331,7 @@
     }
 
     private static long count(JobSimulation simulation, Class<? extends JobEffect> kind) {
-      return simulation.seen.stream().filter(kind::isInstance).count();
+      return simulation.effects.stream().filter(kind::isInstance).count();
     }
 
     /**
--- a/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/DurationEstimatesTest.java
@@ -60,9 +60,9 @@
 
     @Test(dataProvider = "declared")
     public void weighsDeclaredTimesByTheirPastAccuracy(
-        double spread, long declared, long least, long most) {
+        double spread, long declared, long min, long max) {
       long millis = trained(spread).millis(QUEUE, step(declared));
-      assertTrue(millis >= least && millis <= most, "estimated " + millis);
+      assertTrue(millis >= min && millis <= max, "estimated " + millis);
     }
   }
 
--- a/core/src/test/java/org/cottontack/core/job/EarlierCompletionTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EarlierCompletionTest.java
@@ -171,7 +171,7 @@
       first.reachable = false;
       simulation.run(7_000);
       simulation.storeUnavailable = true;
-      while (simulation.seen.stream().filter(EarlierCompletionTest::places).count() < 2) {
+      while (simulation.effects.stream().filter(EarlierCompletionTest::places).count() < 2) {
         simulation.run(10);
       }
       first.reachable = true;
--- a/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
+++ b/core/src/test/java/org/cottontack/core/job/EvacuationTest.java
@@ -26,7 +26,7 @@
   }
 
   private static long countLogEvents(JobSimulation simulation, String name) {
-    return simulation.seen.stream()
+    return simulation.effects.stream()
         .filter(JobEffect.Note.class::isInstance)
         .map(JobEffect.Note.class::cast)
         .filter(note -> note.name().equals(name))
@@ -133,7 +133,7 @@
 
     /** Guards against a run that fails there and is retried there. */
     @Test
-    public void triesAgainElsewhere() {
+    public void retriesNothingThere() {
       SimulatedWorker there = in("a", "w1");
       JobSimulation simulation = simulation(there);
       simulation.submit(job("j", step(1, 2, List.of())));
@@ -181,7 +181,9 @@
       assertEquals(simulation.starts(), 8);
     }
 
-    /** Guards against stopping a long-running task for a place that it may not use. */
+    /**
+     * Guards against stopping a long-running task when only evacuated workers have capacity for it.
+     */
     @Test
     public void tasksOfDrainingWorkersStayWhereOnlyEvacuatedCapacityIsLeft() {
       SimulatedWorker drains = in("b", "w1");
@@ -283,7 +285,7 @@
               .filter(phase -> phase != JobPhase.COMPLETE)
               .count();
       assertEquals(open, 0);
-      assertFalse(simulation.seen.isEmpty());
+      assertFalse(simulation.effects.isEmpty());
     }
 
     private static void injectFault(JobSimulation simulation, Random random) {
--- a/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/IgnoredStartsTest.java
@@ -15,7 +15,7 @@
 
   private static final long SENT_MILLIS = 20_000;
 
-  /** For how long ignored starts excuse the absence of a task. */
+  /** For how long the absence of a task is tolerated after an ignored start. */
   public static class Tolerated {
 
     /** When no start can be carried out any more, and 7 s without a disturbance have passed. */
@@ -99,7 +99,7 @@
       assertFalse(task.startIgnored());
     }
 
-    /** Guards against a batch task whose time on one worker is changed by ignored starts. */
+    /** Guards against ignored starts that change for how long a batch task is pinned. */
     @Test
     public void changesNothingForBatchTasks() {
       IgnoredStarts ignored = new IgnoredStarts();
--- a/core/src/test/java/org/cottontack/core/job/JobSimulation.java
+++ b/core/src/test/java/org/cottontack/core/job/JobSimulation.java
@@ -35,7 +35,7 @@
   /** How long there was no leader before the first one, in milliseconds. */
   private static final long LEADERLESS_MILLIS = 60_000;
 
-  private record ScheduledAction(long atMillis, long order, Runnable action) {}
+  private record ScheduledAction(long atMillis, long sequence, Runnable action) {}
 
   final Map<WorkerId, SimulatedWorker> workers = new LinkedHashMap<>();
 
@@ -44,8 +44,12 @@
 
   final Map<JobId, String> stored = new HashMap<>();
   final Map<JobId, JobSpec> specs = new HashMap<>();
-  final List<JobEffect> seen = new ArrayList<>();
+  final List<JobEffect> effects = new ArrayList<>();
+
+  /** Starts whose answer is lost, and stops that are lost. */
   Predicate<JobEffect> lost = effect -> false;
+
+  /** Starts that are carried out 3 s late and get no answer. */
   Predicate<JobEffect> late = effect -> false;
 
   /**
@@ -71,7 +75,7 @@
   /**
    * Longest time that a worker waits for a completion before it answers a poll, in milliseconds.
    */
-  long longestWaitMillis = 50;
+  long maxWaitMillis = 50;
 
   private int crashes;
 
@@ -83,9 +87,9 @@
   private final PriorityQueue<ScheduledAction> due =
       new PriorityQueue<>(
           Comparator.comparingLong(ScheduledAction::atMillis)
-              .thenComparingLong(ScheduledAction::order));
+              .thenComparingLong(ScheduledAction::sequence));
   private final Deque<JobEffect.SaveProgress> waitingSaves = new ArrayDeque<>();
-  private long orders;
+  private long scheduledCount;
   private JobScheduler leader;
   private JobTable table = JobTable.EMPTY;
   private Moment renewal;
@@ -175,8 +179,8 @@
   }
 
   private void after(long millis, Runnable action) {
-    orders++;
-    due.add(new ScheduledAction(now + millis, orders, action));
+    scheduledCount++;
+    due.add(new ScheduledAction(now + millis, scheduledCount, action));
   }
 
   /** Advances the virtual time. */
@@ -198,7 +202,7 @@
   }
 
   private void execute(JobEffect effect) {
-    seen.add(effect);
+    effects.add(effect);
     JobScheduler from = leader;
     long inEpoch = epoch;
     if (effect instanceof JobEffect.Note note) {
@@ -377,7 +381,7 @@
       return;
     }
     after(
-        Math.max(oneWayDelayMillis, Math.min(order.waitMillis(), longestWaitMillis)),
+        Math.max(oneWayDelayMillis, Math.min(order.waitMillis(), maxWaitMillis)),
         () -> {
           SimulatedWorker worker = workers.get(id);
           if (worker == null || !worker.reachable || worker.dead) {
@@ -410,7 +414,7 @@
   }
 
   private List<JobEffect.PaceRun> pacesOf(String task) {
-    return seen.stream()
+    return effects.stream()
         .filter(JobEffect.PaceRun.class::isInstance)
         .map(JobEffect.PaceRun.class::cast)
         .filter(pace -> pace.run().task().toString().equals(task))
--- a/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LastingLateStartTest.java
@@ -80,7 +80,7 @@
   /** Submits long-running tasks, and returns as soon as their starts were sent. */
   private static void submitLost(JobSimulation simulation) {
     simulation.submit(job(LOST, longRunning(3)));
-    while (simulation.seen.stream().noneMatch(LastingLateStartTest::startsLost)) {
+    while (simulation.effects.stream().noneMatch(LastingLateStartTest::startsLost)) {
       simulation.run(10);
     }
   }
@@ -276,7 +276,7 @@
       delay(simulation, arrives, start -> lateOnFirst(start) || start.run().run() > 1);
       submitLost(simulation);
       crash(simulation);
-      while (simulation.seen.stream().noneMatch(CutShort::startsAgain)) {
+      while (simulation.effects.stream().noneMatch(CutShort::startsAgain)) {
         simulation.run(10);
       }
       simulation.run(300);
--- a/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateAcknowledgementTest.java
@@ -43,7 +43,7 @@
 
   private static void awaitAcknowledgement(JobSimulation simulation) {
     final long latest = simulation.now + 60_000;
-    while (simulation.seen.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
+    while (simulation.effects.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
       assertTrue(simulation.now < latest, "no completion is acknowledged");
       simulation.run(10);
     }
@@ -222,7 +222,7 @@
     }
 
     private static <T extends JobEffect> List<T> seen(JobSimulation simulation, Class<T> kind) {
-      return simulation.seen.stream().filter(kind::isInstance).map(kind::cast).toList();
+      return simulation.effects.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
     /** Returns the next effect of a kind. */
@@ -323,7 +323,8 @@
       JobSimulation simulation = fleet(1);
       final long arrives = simulation.now + 11_900;
       simulation.delay = effect -> effect instanceof JobEffect.LookAtWorker ? 11_900 : 0;
-      while (simulation.seen.stream().noneMatch(StoppedRuns::leases) && simulation.now < arrives) {
+      while (simulation.effects.stream().noneMatch(StoppedRuns::leases)
+          && simulation.now < arrives) {
         simulation.run(10);
       }
       simulation.delay = effect -> 0;
@@ -334,9 +335,9 @@
       simulation.run(2_000);
       final List<JobSpec> before = submit(simulation, "before", 2);
       simulation.delay = effect -> acknowledges(effect) ? leaseArrives + 10 - simulation.now : 0;
-      simulation.seen.clear();
+      simulation.effects.clear();
       next(simulation, JobEffect.LookAtWorker.class);
-      while (simulation.seen.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
+      while (simulation.effects.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
         simulation.run(10);
       }
       simulation.delay = effect -> 0;
@@ -385,7 +386,7 @@
   /** State that the next leader inherits. */
   public static class Takeover {
 
-    /** Guards against next leaders that expect such an incarnation to list all its completions. */
+    /** Guards against next leaders that do not know of suppressed completions. */
     @Test
     public void remembersIncarnationThatGotNoWork() {
       JobSimulation simulation = fleet(1);
@@ -490,7 +491,7 @@
       final List<JobSpec> after = submit(simulation, "after", 2);
       simulation.run(4_000);
       assertComplete(simulation, after);
-      assertTrue(simulation.seen.stream().noneMatch(JobEffect.StopRun.class::isInstance));
+      assertTrue(simulation.effects.stream().noneMatch(JobEffect.StopRun.class::isInstance));
     }
 
     /** Guards against a restarted worker that gets one task at a time for longer than needed. */
@@ -507,7 +508,7 @@
       simulation.run(4_000);
       assertComplete(simulation, before);
       assertComplete(simulation, after);
-      long stops = simulation.seen.stream().filter(JobEffect.StopRun.class::isInstance).count();
+      long stops = simulation.effects.stream().filter(JobEffect.StopRun.class::isInstance).count();
       assertEquals(stops, 1);
     }
 
@@ -550,17 +551,18 @@
       simulation.workMillis = 20_000;
       simulation.submit(job("long", step(1, 2, List.of())));
       simulation.delay = effect -> acknowledges(effect) ? 11_000 : 0;
-      while (simulation.seen.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
+      while (simulation.effects.stream().noneMatch(LateAcknowledgementTest::acknowledges)) {
         simulation.run(10);
       }
-      simulation.longestWaitMillis = 1_000;
+      simulation.maxWaitMillis = 1_000;
       simulation.storeUnavailable = true;
       simulation.run(2_600);
       simulation.delay = effect -> 0;
-      simulation.seen.clear();
+      simulation.effects.clear();
       simulation.run(1_000);
       assertTrue(
-          simulation.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count() <= 25);
+          simulation.effects.stream().filter(JobEffect.LookAtWorker.class::isInstance).count()
+              <= 25);
       assertEquals(simulation.workers.get(FIRST).lastAcknowledgedCompletion(), 1);
     }
 
@@ -570,9 +572,9 @@
       JobSimulation simulation = fleet(1);
       submit(simulation, "before", 2);
       simulation.run(3_000);
-      simulation.seen.clear();
+      simulation.effects.clear();
       simulation.run(20_000);
-      assertFalse(simulation.seen.stream().anyMatch(LateAcknowledgementTest::acknowledges));
+      assertFalse(simulation.effects.stream().anyMatch(LateAcknowledgementTest::acknowledges));
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/LateLeasesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateLeasesTest.java
@@ -69,7 +69,7 @@
 
     /** Guards against treating a missing answer as an answer. */
     @Test
-    public void mayComeLateWhenAbandoned() {
+    public void mayComeLateWhenAnswerIsMissing() {
       LateLeases leases = started();
       leases.startAnswered(RUN, false);
       assertTrue(leases.mayHaveReached(LAST - 1));
--- a/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateOrdersTest.java
@@ -139,7 +139,7 @@
       timer.cancel(ID);
       timer.run(delay + 5_000);
       List<String> logged =
-          timer.simulation.seen.stream()
+          timer.simulation.effects.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("run.cancelled"))
@@ -230,14 +230,14 @@
 
     private static int polls(JobSimulation simulation) {
       return (int)
-          simulation.seen.stream().filter(JobEffect.LookAtWorker.class::isInstance).count();
+          simulation.effects.stream().filter(JobEffect.LookAtWorker.class::isInstance).count();
     }
 
     /**
      * Guards against treating a worker as idle while it runs something that is no longer needed. A
      * new leader finds a run of a job that no longer exists, and a completion that it cannot store
-     * because the store is unavailable. Its first stop is lost. The worker counted as idle, so it
-     * was polled and the stop resent only 5 s later.
+     * because the store is unavailable. Its first stop is lost. If the worker counted as idle, it
+     * would be polled, and the stop resent, only 5 s later.
      */
     @Test
     public void obsoleteRunsKeepWorkersFromBeingIdle() {
--- a/core/src/test/java/org/cottontack/core/job/LateStartTest.java
+++ b/core/src/test/java/org/cottontack/core/job/LateStartTest.java
@@ -278,7 +278,7 @@
   /** Stored and read again. */
   public static class Stored {
 
-    /** Guards against the loss of a pinned worker's identifier when the leader changes. */
+    /** Guards against a next leader that does not know to which worker a task is pinned. */
     @Test
     public void namesWorkerOfWaitingTask() {
       Job job = new Job(job("a", step(1, 2, List.of())), 0);
--- a/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
+++ b/core/src/test/java/org/cottontack/core/job/OrdersInDoubtTest.java
@@ -46,7 +46,7 @@
   private static long acknowledgeLate(JobSimulation simulation, long delay) {
     simulation.delay = effect -> acknowledges(effect) ? delay : 0;
     for (int i = 0;
-        i < 1_000 && simulation.seen.stream().noneMatch(OrdersInDoubtTest::acknowledges);
+        i < 1_000 && simulation.effects.stream().noneMatch(OrdersInDoubtTest::acknowledges);
         i++) {
       simulation.run(10);
     }
--- a/core/src/test/java/org/cottontack/core/job/Replay.java
+++ b/core/src/test/java/org/cottontack/core/job/Replay.java
@@ -41,14 +41,16 @@
    */
   private static final double HARM_FACTOR = 4;
 
-  private record Due(long at, long sequence, Runnable action) {}
+  private record ScheduledAction(long at, long sequence, Runnable action) {}
 
   private final ReplayLoad load;
   private final Map<WorkerId, ReplayWorker> workers = new HashMap<>();
   private final Map<JobId, ReplayLoad.Arrival> arrived = new HashMap<>();
   private final Map<JobId, Long> ended = new HashMap<>();
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::sequence));
+  private final PriorityQueue<ScheduledAction> due =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::at)
+              .thenComparingLong(ScheduledAction::sequence));
   private final Map<JobId, String> stored = new TreeMap<>();
   private final Deque<JobEffect.SaveProgress> waitingSaves = new ArrayDeque<>();
   private final ReplayPolicy policy;
@@ -153,7 +155,7 @@
 
   private void at(long millis, Runnable action) {
     scheduledCount++;
-    due.add(new Due(millis, scheduledCount, action));
+    due.add(new ScheduledAction(millis, scheduledCount, action));
   }
 
   private void after(long millis, Runnable action) {
--- a/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayLoad.java
@@ -140,9 +140,9 @@
     }
   }
 
-  private double spread(double mean, double spread, double most) {
+  private double spread(double mean, double spread, double max) {
     double mu = Math.log(mean) - spread * spread / 2;
-    return Math.min(most, Math.exp(mu + spread * random.nextGaussian()));
+    return Math.min(max, Math.exp(mu + spread * random.nextGaussian()));
   }
 
   private void drawServices() {
@@ -237,9 +237,9 @@
           Math.round(spread(kind.cpuMillis(), spreads.cpu(), 3 * kind.cpuMillis()) / 50) * 50;
       double declared = usual * Math.exp(0.2 * random.nextGaussian());
       final boolean hasCheckpoints = random.nextDouble() < 0.85;
-      double[] takes =
+      double[] durations =
           random.doubles(count).map(any -> usual * Math.exp(0.3 * random.nextGaussian())).toArray();
-      double longest = Arrays.stream(takes).max().orElse(usual);
+      double longest = Arrays.stream(durations).max().orElse(usual);
       TestStep built =
           TestStep.tasks(count)
               .cpu(cpu)
@@ -250,7 +250,7 @@
           image.isEmpty()
               ? built.of()
               : hasCheckpoints ? withCheckpoints(built) : withoutCheckpoints(built));
-      work.add(takes);
+      work.add(durations);
     }
     return new Arrival(at, job(id, queue, specs), work);
   }
--- a/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayPolicy.java
@@ -68,13 +68,13 @@
   private record KnownInterference(ReplayLoad load) implements Interference {
 
     /** Headroom of a service at rest: its tail is the bound divided by this. */
-    private static final double MOST_HEADROOM = ReplayLoad.BOUND_TO_BASE;
+    private static final double HEADROOM_AT_REST = ReplayLoad.BOUND_TO_BASE;
 
     private static final double MILD = 0.5;
 
     @Override
     public void learn(Worker worker, long nowMillis) {
-      worker.serving().forEach(task -> task.excess = 0);
+      worker.serving().forEach(task -> task.headroomShortfall = 0);
     }
 
     @Override
@@ -85,7 +85,7 @@
     @Override
     public double effect(Worker worker, Task serving, Task bestEffort) {
       double weight = load.weight(serving.spec.image(), bestEffort.spec.image());
-      return MOST_HEADROOM * weight * worker.share((double) bestEffort.spec.need().cpuMillis());
+      return HEADROOM_AT_REST * weight * worker.share((double) bestEffort.spec.need().cpuMillis());
     }
 
     @Override
@@ -96,7 +96,7 @@
     @Override
     public double availableHeadroom(Task serving, long millis) {
       double used = load.service(serving.job.spec.id()).load(millis);
-      return MOST_HEADROOM * (1 - used) - 1;
+      return HEADROOM_AT_REST * (1 - used) - 1;
     }
 
     @Override
--- a/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/ReplayWorker.java
@@ -21,7 +21,7 @@
   private static final int WINDOW_STEPS = 500 / (int) Replay.STEP_MILLIS;
 
   /** Tail reported for a queue that grows without bound, in milliseconds. */
-  private static final double LONGEST_TAIL = 10_000;
+  private static final double MAX_TAIL_MILLIS = 10_000;
 
   /** Standard deviation of the logarithm of a reported tail. */
   private static final double TAIL_NOISE = 0.12;
@@ -253,7 +253,7 @@
     double slower = 1 + slowdown;
     double idle = 1 - run.service.load(now) * slower;
     double tail = load.baseTailMillis() * slower / Math.max(idle, 1e-6);
-    return Math.min(LONGEST_TAIL, tail);
+    return Math.min(MAX_TAIL_MILLIS, tail);
   }
 
   private double slowdown(Running serving, Running bestEffort) {
--- a/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
+++ b/core/src/test/java/org/cottontack/core/job/RestartedWorkerTest.java
@@ -133,7 +133,7 @@
     @Test
     public void movesLongRunningTaskOffRestartedWorkerThatDrains() {
       JobSimulation simulation = restartingFleet(2);
-      simulation.longestWaitMillis = 1_000;
+      simulation.maxWaitMillis = 1_000;
       submit(simulation, "before", 6);
       simulation.run(6_000);
       simulation.crash(worker(simulation, 0));
@@ -268,11 +268,10 @@
   public static class Crashes {
 
     private static final TaskName FATAL = TaskName.parse("bad.0.0.0");
-    private static final int MOST_STARTS = 5;
+    private static final int MAX_STARTS = 5;
 
     private static void assertAbandoned(JobSimulation simulation) {
-      assertTrue(
-          simulation.startsOf(FATAL) <= MOST_STARTS, "starts: " + simulation.startsOf(FATAL));
+      assertTrue(simulation.startsOf(FATAL) <= MAX_STARTS, "starts: " + simulation.startsOf(FATAL));
       assertEquals(simulation.phase(FATAL.job()), JobPhase.FAILED);
     }
 
@@ -314,7 +313,7 @@
     private static final int SECONDS = 40;
 
     /** Longest time from a crash to the loss of the leader, in milliseconds. */
-    private static final int LONGEST_UNDETECTED_MILLIS = 900;
+    private static final int MAX_UNDETECTED_MILLIS = 900;
 
     /** Longest delay after which an order is carried out, in milliseconds. */
     private static final int LATEST_MILLIS = 5_000;
@@ -391,7 +390,7 @@
       if (random.nextInt(3) == 0) {
         crashLongLived(simulation, random);
         if (random.nextBoolean()) {
-          simulation.run(random.nextInt(LONGEST_UNDETECTED_MILLIS));
+          simulation.run(random.nextInt(MAX_UNDETECTED_MILLIS));
           changeLeader(simulation);
         }
       }
@@ -465,7 +464,7 @@
      */
     private static void assertCompleteOrAbandoned(JobSimulation simulation) {
       Set<String> abandoned =
-          simulation.seen.stream()
+          simulation.effects.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("job.givenUp"))
--- a/core/src/test/java/org/cottontack/core/job/SharingTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SharingTest.java
@@ -66,7 +66,7 @@
       submitHarmful(simulation, worker, bestEffort("f", "batch"), 200.0);
       simulation.run(1_500);
       assertTrue(
-          simulation.seen.stream()
+          simulation.effects.stream()
               .anyMatch(e -> e instanceof JobEffect.PaceRun pace && pace.percent() == 0));
     }
 
@@ -195,7 +195,7 @@
       simulation.run(4_000);
       assertFalse(worker.runs(TaskName.parse("f.0.0.0")));
       assertTrue(
-          simulation.seen.stream()
+          simulation.effects.stream()
               .anyMatch(
                   e ->
                       e instanceof JobEffect.StopRun stop
--- a/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
+++ b/core/src/test/java/org/cottontack/core/job/SimulatedWorker.java
@@ -17,7 +17,7 @@
 final class SimulatedWorker {
 
   /** Longest lease, in milliseconds; a longer one is shortened to this. */
-  private static final long LONGEST_LEASE_MILLIS = 10_000;
+  private static final long MAX_LEASE_MILLIS = 10_000;
 
   private static final class ActiveRun {
     final RunKey run;
@@ -48,7 +48,10 @@
   double speed = 1;
 
   private final Map<RunKey, ActiveRun> running = new HashMap<>();
-  private final Map<TaskName, Integer> barred = new HashMap<>();
+
+  /** Highest run of each task that ended or was stopped; starts of runs up to it are refused. */
+  private final Map<TaskName, Integer> refusedUpTo = new HashMap<>();
+
   private final List<WorkerReport.Completion> completions = new ArrayList<>();
   private long lastCompletion;
   private long acknowledged;
@@ -101,15 +104,16 @@
   /**
    * Carries out a start order. The run is done after the given time, or fails if that is negative.
    */
-  StartResult start(JobEffect.StartRun order, long epoch, long now, long work, Resources need) {
-    if (epoch < token) {
+  StartResult start(
+      JobEffect.StartRun order, long orderToken, long now, long work, Resources need) {
+    if (orderToken < token) {
       return StartResult.FENCED;
     }
-    token = epoch;
+    token = orderToken;
     if (running.containsKey(order.run())) {
       return StartResult.STARTED;
     }
-    if (order.run().run() <= barred.getOrDefault(order.run().task(), 0)) {
+    if (order.run().run() <= refusedUpTo.getOrDefault(order.run().task(), 0)) {
       return StartResult.OLD;
     }
     if (order.deadlineMillis() <= clock(now)) {
@@ -121,28 +125,29 @@
     return StartResult.STARTED;
   }
 
-  void stop(RunKey run, long epoch) {
-    if (epoch < token) {
+  void stop(RunKey run, long orderToken) {
+    if (orderToken < token) {
       return;
     }
-    barred.merge(run.task(), run.run(), Math::max);
+    refusedUpTo.merge(run.task(), run.run(), Math::max);
     if (running.remove(run) != null) {
       end(run, WorkerReport.CompletionStatus.STOPPED);
     }
   }
 
-  WorkerReport poll(JobEffect.LookAtWorker poll, long epoch, long now) {
-    token = Math.max(token, epoch);
-    if (epoch == token) {
+  WorkerReport poll(JobEffect.LookAtWorker poll, long orderToken, long now) {
+    token = Math.max(token, orderToken);
+    if (orderToken == token) {
       extendLease(poll.leaseEndMillis(), now);
       acknowledged = Math.max(acknowledged, poll.acknowledged());
     }
     completions.stream()
         .filter(
-            end ->
-                end.number() <= acknowledged && end.status() == WorkerReport.CompletionStatus.DONE)
-        .forEach(end -> acknowledgedDone.add(end.task()));
-    completions.removeIf(end -> end.number() <= acknowledged);
+            completion ->
+                completion.number() <= acknowledged
+                    && completion.status() == WorkerReport.CompletionStatus.DONE)
+        .forEach(completion -> acknowledgedDone.add(completion.task()));
+    completions.removeIf(completion -> completion.number() <= acknowledged);
     List<WorkerReport.Running> list =
         running.keySet().stream()
             .map(
@@ -157,8 +162,7 @@
   }
 
   private void extendLease(long untilMillis, long now) {
-    leaseEndMillis =
-        Math.max(leaseEndMillis, Math.min(untilMillis, clock(now) + LONGEST_LEASE_MILLIS));
+    leaseEndMillis = Math.max(leaseEndMillis, Math.min(untilMillis, clock(now) + MAX_LEASE_MILLIS));
   }
 
   /** Returns its clock, which starts with the incarnation. */
@@ -185,7 +189,7 @@
         run -> {
           if (expired || (!stalls && now >= run.doneMillis)) {
             running.remove(run.run);
-            barred.merge(run.run.task(), run.run.run(), Math::max);
+            refusedUpTo.merge(run.run.task(), run.run.run(), Math::max);
             WorkerReport.CompletionStatus status =
                 expired ? WorkerReport.CompletionStatus.LAPSED : outcome(fails || failsAll);
             if (status == WorkerReport.CompletionStatus.DONE) {
--- a/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
+++ b/core/src/test/java/org/cottontack/core/job/SuppressedCompletionsEntriesTest.java
@@ -53,10 +53,10 @@
    * @return when it arrives
    */
   private static long acknowledgeLate(JobSimulation simulation, long delay) {
-    int from = simulation.seen.size();
+    int from = simulation.effects.size();
     simulation.delay = effect -> acknowledges(effect) ? delay : 0;
     final long latest = simulation.now + 60_000;
-    while (simulation.seen.stream()
+    while (simulation.effects.stream()
         .skip(from)
         .noneMatch(SuppressedCompletionsEntriesTest::acknowledges)) {
       assertTrue(simulation.now < latest, "no completion is acknowledged");
@@ -214,16 +214,16 @@
     }
 
     private static long countLogged(JobSimulation simulation, String name) {
-      return simulation.seen.stream()
+      return simulation.effects.stream()
           .filter(effect -> effect instanceof JobEffect.Note note && note.name().equals(name))
           .count();
     }
 
     /**
-     * Returns a simulation whose leader has marked an incarnation because of an acknowledgement
-     * that its predecessor sent.
+     * Returns a simulation whose leader has recorded suppressed completions of an incarnation,
+     * because of an acknowledgement that the previous leader sent.
      */
-    private static JobSimulation marked(long delay) {
+    private static JobSimulation withInheritedSuppression(long delay) {
       JobSimulation simulation = fleet(1);
       submit(simulation, "before", 2);
       final long arrives = acknowledgeLate(simulation, delay);
@@ -242,11 +242,12 @@
     }
 
     /**
-     * Guards against a mark that is lost when the entry of the previous incarnation arrives again.
+     * Guards against suppressed completions that are forgotten when the entry of the previous
+     * incarnation arrives again.
      */
     @Test(dataProvider = "moments")
-    public void keepsInheritedMarkWhenStaleEntryArrives(long delay, long moment) {
-      JobSimulation simulation = marked(delay);
+    public void keepsInheritedSuppressionWhenStaleEntryArrives(long delay, long moment) {
+      JobSimulation simulation = withInheritedSuppression(delay);
       WorkerInfo entry = first(simulation).info;
       simulation.run(moment);
       simulation.post(
@@ -262,8 +263,8 @@
      * has the later start time.
      */
     @Test(dataProvider = "moments")
-    public void keepsInheritedMarkWhenStartTimeIsTooLate(long delay, long moment) {
-      JobSimulation simulation = marked(delay);
+    public void keepsInheritedSuppressionWhenStartTimeIsTooLate(long delay, long moment) {
+      JobSimulation simulation = withInheritedSuppression(delay);
       WorkerInfo entry = first(simulation).info;
       simulation.run(moment);
       simulation.post(
--- a/core/src/test/java/org/cottontack/core/job/TestStep.java
+++ b/core/src/test/java/org/cottontack/core/job/TestStep.java
@@ -35,8 +35,8 @@
     return this;
   }
 
-  TestStep apart(int most) {
-    maxPerWorker = most;
+  TestStep apart(int max) {
+    maxPerWorker = max;
     return this;
   }
 
--- a/core/src/test/java/org/cottontack/core/job/UnlistedSuppressionsTest.java
+++ b/core/src/test/java/org/cottontack/core/job/UnlistedSuppressionsTest.java
@@ -24,7 +24,7 @@
 
     final JobScheduler scheduler =
         new JobScheduler(JobTiming.STANDARD, JobFixtures.TABLE, at(START_MILLIS), START_MILLIS);
-    final List<JobEffect> seen = new ArrayList<>();
+    final List<JobEffect> effects = new ArrayList<>();
     private int jobs;
 
     Leader(String text) {
@@ -36,7 +36,7 @@
     }
 
     void handle(long millis, JobEvent event) {
-      seen.addAll(scheduler.reduce(at(millis), event));
+      effects.addAll(scheduler.reduce(at(millis), event));
     }
 
     void tick(long millis) {
@@ -50,7 +50,7 @@
       handle(millis, new JobEvent.JobArrived(job));
       handle(millis, new JobEvent.JobCancelled(job.id()));
       handle(millis, new JobEvent.ProgressSaved());
-      return seen.stream()
+      return effects.stream()
           .filter(JobEffect.SaveProgress.class::isInstance)
           .map(effect -> ((JobEffect.SaveProgress) effect).learned())
           .filter(text -> !text.isEmpty())
@@ -58,7 +58,7 @@
     }
 
     long countCutEvents() {
-      return seen.stream()
+      return effects.stream()
           .filter(JobEffect.Note.class::isInstance)
           .map(JobEffect.Note.class::cast)
           .filter(note -> note.name().equals("learned.cut"))
@@ -76,11 +76,11 @@
     return text.lines().filter(line -> line.startsWith("hides")).count();
   }
 
-  /** Space that these incarnations take in the text. */
+  /** Space in the text for incarnations with suppressed completions. */
   public static class Share {
 
     /**
-     * Guards against many such incarnations that displace other lines which the next leader needs.
+     * Guards against many such incarnations whose lines displace others that the next leader needs.
      */
     @Test
     public void leavesSpaceForOtherLines() {
--- a/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerClockTest.java
@@ -15,9 +15,9 @@
     private static final long UNTIL_MILLIS = 30_000;
 
     private static long leaseEnd(long clock) {
-      WorkerClock seen = new WorkerClock();
-      seen.observe(clock, READ_MILLIS);
-      return seen.leaseEnd(UNTIL_MILLIS);
+      WorkerClock workerClock = new WorkerClock();
+      workerClock.observe(clock, READ_MILLIS);
+      return workerClock.leaseEnd(UNTIL_MILLIS);
     }
 
     /**
@@ -38,11 +38,11 @@
     /** A shorter lease does not end an earlier, longer one. */
     @Test
     public void theLatestEndCounts() {
-      WorkerClock seen = new WorkerClock();
-      seen.observe(500, READ_MILLIS);
-      seen.leaseEnd(UNTIL_MILLIS);
-      seen.leaseEnd(UNTIL_MILLIS - 5_000);
-      assertEquals(seen.lastLeaseEndMillis(), UNTIL_MILLIS);
+      WorkerClock workerClock = new WorkerClock();
+      workerClock.observe(500, READ_MILLIS);
+      workerClock.leaseEnd(UNTIL_MILLIS);
+      workerClock.leaseEnd(UNTIL_MILLIS - 5_000);
+      assertEquals(workerClock.lastLeaseEndMillis(), UNTIL_MILLIS);
     }
   }
 }
--- a/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
+++ b/core/src/test/java/org/cottontack/core/job/WorkerTroubleTest.java
@@ -22,7 +22,7 @@
     }
 
     private static long handOvers(JobSimulation simulation) {
-      return simulation.seen.stream().filter(JobEffect.HandOver.class::isInstance).count();
+      return simulation.effects.stream().filter(JobEffect.HandOver.class::isInstance).count();
     }
 
     /**
@@ -100,7 +100,7 @@
       simulation.run(4_000);
       simulation.post(new JobEvent.WorkerReborn(lost.info.incarnation()));
       List<String> lines =
-          simulation.seen.stream()
+          simulation.effects.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("run.lost"))
@@ -114,8 +114,8 @@
     /**
      * Guards against a long absence of a task whose worker is lost without notice and whose leader
      * is killed 0.5 s later, before it detects the loss. The next leader finds the task on a worker
-     * that it never reaches. It once assumed the latest possible end of the old leader's leases to
-     * be 14.5 s after the start of its own term, and the task was absent for 17 s.
+     * that it never reaches. If it assumed that the old leader's leases may end up to 14.5 s after
+     * the start of its own term, the task would be absent for 17 s.
      */
     @Test
     public void longRunningTasksOfLostWorkersReturnSoonAfterTakeover() {
@@ -177,8 +177,8 @@
 
     /**
      * Guards against orders to a lost worker that delay the return of its long-running task. Orders
-     * sent before the loss is detected, 0.9 s later, reach nobody, but each granted a lease that
-     * might have, and the task was absent for 0.9 s longer.
+     * sent before the loss is detected, 0.9 s later, reach nobody. If each of them counted as a
+     * granted lease, the task would be absent for 0.9 s longer.
      */
     @Test
     public void ordersToLostWorkersDoNotLengthenTheWait() {
@@ -219,7 +219,7 @@
       simulation.takeOver();
       simulation.run(500);
       assertEquals(
-          simulation.seen.stream()
+          simulation.effects.stream()
               .filter(JobEffect.Note.class::isInstance)
               .map(JobEffect.Note.class::cast)
               .filter(note -> note.name().equals("worker.awaited"))
@@ -301,7 +301,7 @@
       simulation.run(1_000);
       SimulatedWorker leaving = first.count() == 1 ? first : second;
       final SimulatedWorker other = leaving == first ? second : first;
-      simulation.longestWaitMillis = 1_000;
+      simulation.maxWaitMillis = 1_000;
       leaving.dropsCompletions = true;
       simulation.post(JobSimulation.draining(leaving));
       simulation.run(2_500);
