--- a/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
+++ b/daemon/src/test/java/org/cottontack/daemon/job/WatchedStoreTest.java
@@ -65,7 +65,7 @@
      * does not count as silence.
      */
     @Test
-    public void waitsUntilAResponseIsDue() {
+    public void waitsUntilResponseIsDue() {
       Simulation simulation = new Simulation();
       simulation.time.run(5_000);
       assertFalse(simulation.watched.unavailable());
